--- a/src/adapter/decode.rs
+++ b/src/adapter/decode.rs
@@ -6,9 +6,10 @@
 
 use pg_pooler::config::decode_settings;
 use pg_pooler::interface::{
-    AttemptResult, Endpoint, EndpointStatus, Event, LoadReport, Outcome, Request, UpdateKind,
+    AttemptResult, Endpoint, EndpointStatus, Event, LoadReport, Outcome, Request, Role, UpdateKind,
 };
 use pg_pooler::settings::Settings;
+use pg_pooler::time::{ClusterInstant, LocalInstant, LogPosition, Span};
 use serde_json::Value;
 
 use crate::error::WireError;
@@ -16,8 +17,6 @@
 
 /// The bit of a request's options that says that the predicted work is valid.
 const OPTION_PREDICTED_WORK: i64 = 1;
-/// The bit of a request's options that says that the client has sent it before.
-const OPTION_CLIENT_RETRY: i64 = 2;
 /// A log position and a role share one number. These bits hold the role; the position is in the bits above.
 const ROLE_MASK: i64 = 3;
 const ROLE_BITS: u32 = 2;
@@ -32,8 +31,8 @@
 
 /// A line of the simulator.
 pub enum Message {
-    /// The time of the messages that follow (seconds).
-    Turn { now: f64 },
+    /// The time of the messages that follow.
+    Turn { now: LocalInstant },
     /// The batch is complete; the simulator waits for the reply.
     EndOfBatch,
     /// A list of endpoints to which later messages refer.
@@ -85,7 +84,7 @@
     };
     let fields = Fields(&values);
     Ok(match name.as_str() {
-        "turn" => Message::Turn { now: fields.number(0, "turn")? },
+        "turn" => Message::Turn { now: LocalInstant::from_secs(fields.number(0, "turn")?) },
         "yourTurn" => Message::EndOfBatch,
         "inventory" => decode_inventory(fields)?,
         "openInstance" => Message::OpenInstance(Box::new(decode_new_instance(fields)?)),
@@ -116,11 +115,24 @@
         zone: fields.integer_or_zero(1, "failureDomain")? as u32,
         group: fields.integer_or_zero(3, "cell")? as u32,
         status: decode_status(fields.text(4, "phase")?)?,
-        started_at: fields.number_or_zero(6, "startedAt")?,
-        primary: fields.number_or_zero(7, "isPrimary")? == 1.0,
+        started_at: decode_start(fields.number_or_zero(6, "startedAt")?),
+        role: role_of(fields.number_or_zero(7, "isPrimary")? == 1.0),
     })
 }
 
+/// When an endpoint last started; 0 stands for long ago.
+fn decode_start(started_at: f64) -> Option<ClusterInstant> {
+    (started_at > 0.0).then_some(ClusterInstant::from_secs(started_at))
+}
+
+fn role_of(is_primary: bool) -> Role {
+    if is_primary {
+        Role::Primary
+    } else {
+        Role::Replica
+    }
+}
+
 fn decode_status(phase: &str) -> Result<EndpointStatus, WireError> {
     match phase {
         "active" => Ok(EndpointStatus::Serving),
@@ -187,12 +199,11 @@
     let predicted_work = fields.value(7).as_f64();
     Ok(Request {
         id: fields.text(1, "corr")?.into(),
-        timeout: fields.number(2, "expiresIn")?,
-        session_token_age: Some(token_age).filter(|age| *age > 0.0),
+        timeout: Span::from_secs(fields.number(2, "expiresIn")?),
+        session_token_age: Some(token_age).filter(|age| *age > 0.0).map(Span::from_secs),
         session: fields.value(4).as_str().map(Arc::from),
         tenant: fields.integer_or_zero(5, "realm")? as usize,
-        predicted_work: predicted_work.filter(|_| options & OPTION_PREDICTED_WORK != 0),
-        client_retry: options & OPTION_CLIENT_RETRY != 0,
+        predicted_work: predicted_work.filter(|_| options & OPTION_PREDICTED_WORK != 0).map(Span::from_secs),
         class: fields.integer_or_zero(8, "tierClass")? as usize,
         group: fields.integer_or_zero(9, "clusterNo")? as u32,
     })
@@ -204,25 +215,25 @@
         id: fields.text(1, "corr")?.into(),
         endpoint: fields.text(3, "member")?.into(),
         request_finished: fields.flag(4),
-        elapsed: fields.number_or_zero(5, "costTime")?,
+        elapsed: Span::from_secs(fields.number_or_zero(5, "costTime")?),
         attempt: fields.integer_or_zero(6, "sendNo")? as usize,
         outcome: decode_outcome(fields.integer_or_zero(7, "result")?)?,
         log_position: decode_log_position(position_and_role, base_time),
-        primary: decode_role(position_and_role),
+        role: decode_role(position_and_role),
         report: decode_load_report(fields.value(8), base_time),
     })
 }
 
-fn decode_log_position(position_and_role: i64, base_time: f64) -> Option<f64> {
+fn decode_log_position(position_and_role: i64, base_time: f64) -> Option<LogPosition> {
     let millis = position_and_role >> ROLE_BITS;
-    (millis > 0).then(|| base_time + millis as f64 / MILLIS_PER_SECOND)
+    (millis > 0).then(|| LogPosition::from_secs(base_time + millis as f64 / MILLIS_PER_SECOND))
 }
 
 /// Whether the endpoint answered as the primary; `None` where it did not tell.
-fn decode_role(position_and_role: i64) -> Option<bool> {
+fn decode_role(position_and_role: i64) -> Option<Role> {
     match position_and_role & ROLE_MASK {
-        ROLE_PRIMARY => Some(true),
-        ROLE_REPLICA => Some(false),
+        ROLE_PRIMARY => Some(Role::Primary),
+        ROLE_REPLICA => Some(Role::Replica),
         _ => None,
     }
 }
@@ -237,8 +248,8 @@
 
 fn decode_load_report(report: &Value, base_time: f64) -> LoadReport {
     LoadReport {
-        log_position: report["x0"].as_f64().map(|position| base_time + position),
-        primary: report["x1"].as_f64().map(|flag| flag == 1.0),
+        log_position: report["x0"].as_f64().map(|position| LogPosition::from_secs(base_time + position)),
+        role: report["x1"].as_f64().map(|flag| role_of(flag == 1.0)),
     }
 }
 
--- a/src/adapter/host.rs
+++ b/src/adapter/host.rs
@@ -4,6 +4,7 @@
 use std::io::Write;
 
 use pg_pooler::interface::{Action, Endpoint, Event, UpdateKind};
+use pg_pooler::time::LocalInstant;
 use pg_pooler::Policy;
 
 use crate::decode::{
@@ -31,7 +32,7 @@
 /// Runs the instances, and collects their actions until the batch is complete.
 #[derive(Default)]
 pub struct Host {
-    now: f64,
+    now: LocalInstant,
     inventories: BTreeMap<InventoryId, Vec<Endpoint>>,
     instances: BTreeMap<InstanceId, Instance>,
     pending_actions: Vec<(InstanceId, Action)>,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -11,8 +11,10 @@
 use crate::json::{self, JsonError};
 use crate::load_report::{LOG_POSITION_FIELD, PRIMARY_FIELD};
 use crate::settings::{
-    Consistency, DeduplicationScope, Idempotency, RequestClass, Settings, StaleReadHandling,
+    require_non_negative, Consistency, DeduplicationScope, Idempotency, RequestClass, Settings,
+    SettingsError, StaleReadHandling,
 };
+use crate::time::Span;
 
 /// Why a settings object cannot be decoded.
 #[derive(Debug, thiserror::Error)]
@@ -23,6 +25,9 @@
     /// A number has the wrong type.
     #[error(transparent)]
     NotANumber(#[from] NotANumber),
+    /// A setting is out of its range.
+    #[error(transparent)]
+    OutOfRange(#[from] SettingsError),
     /// There are no request classes.
     #[error("'classes' is not an array")]
     NoClasses,
@@ -156,20 +161,20 @@
             pooler_count: self.fleet_size.or("fleetSize", 1.0)? as u32,
             zone: self.zone.or("zone", 0.0)? as u32,
             shares_host_clock: true,
-            tick: self.tick.or("tick", 0.005)?,
+            tick: span(self.tick, "tick", 0.005)?,
             health_checks: limits.probes && self.load_info.is_useful(),
             cancellation: limits.cancel,
             hedging: limits.may_duplicate,
             max_attempts: limits.max_attempts.or("maxAttempts", 1.0)? as u32,
             send_retry_after: limits.retry_after,
-            max_retry_after: limits.max_retry_after.or("maxRetryAfter", 0.0)?,
-            connect_timeout: limits.connect_timeout.or("connectTimeout", 0.25)?,
+            max_retry_after: span(limits.max_retry_after, "maxRetryAfter", 0.0)?,
+            connect_timeout: span(limits.connect_timeout, "connectTimeout", 0.25)?,
             watch_endpoints: self.registry_mode.as_deref() == Some("subscribe"),
-            max_watch_gap: invariants.ask_within.or("askWithin", 10.0)?,
+            max_watch_gap: span(invariants.ask_within, "askWithin", 10.0)?,
             initial_capacity: invariants.cold_from.or("coldFrom", 1.0)?,
-            slow_start_window: invariants.warm_up.or("warmUp", 0.0)?,
-            overload_limit: invariants.tip_multiple.or("tipMultiple", f64::INFINITY)?,
-            overload_window: invariants.fall.or("fall", 1.0)?,
+            slow_start_window: span(invariants.warm_up, "warmUp", 0.0)?,
+            overload_limit: optional(invariants.tip_multiple, "tipMultiple")?,
+            overload_window: span(invariants.fall, "fall", 1.0)?,
             removal_is_advisory: invariants.gone_is_advice,
             stale_reads: specifics.decode_stale_reads()?,
             session_tokens_carried: specifics.write_marks.as_deref() == Some("carried"),
@@ -192,19 +197,19 @@
             .collect()
     }
 
-    fn decode_tenant_quotas(&self) -> Result<Vec<f64>, NotANumber> {
+    fn decode_tenant_quotas(&self) -> Result<Vec<Option<f64>>, NotANumber> {
         let customers = self.customers.as_deref().unwrap_or_default();
-        customers.iter().map(|customer| customer.quota_per_s.or("quotaPerS", f64::INFINITY)).collect()
+        customers.iter().map(|customer| optional(customer.quota_per_s, "quotaPerS")).collect()
     }
 }
 
 impl RawClass {
     fn decode(&self, consistency: Consistency) -> Result<RequestClass, NotANumber> {
         Ok(RequestClass {
-            latency_objective: self.aim.or("aim", 1.0)?,
+            latency_objective: span(self.aim, "aim", 1.0)?,
             latency_objective_factor: self.aim_stretch.or("aimStretch", 0.0)?,
-            deadline: self.deadline.or("deadline", 1.0)?,
-            deduplication_window: self.dedup_window.or("dedupWindow", 0.0)?,
+            deadline: span(self.deadline, "deadline", 1.0)?,
+            deduplication_window: span(self.dedup_window, "dedupWindow", 0.0)?,
             idempotency: self.decode_idempotency(),
             deduplication_scope: match self.group.as_deref() {
                 Some("all") => DeduplicationScope::AnyEndpoint,
@@ -239,22 +244,37 @@
 }
 
 impl RawSpecifics {
-    /// The staleness bound of a class (seconds); 0 where there is none.
-    fn staleness_bound_of(&self, class: usize) -> f64 {
+    /// The staleness bound of a class; zero where there is none.
+    fn staleness_bound_of(&self, class: usize) -> Span {
         let bounds = self.staleness_bound.as_deref().unwrap_or_default();
-        bounds.get(class).copied().flatten().unwrap_or(0.0)
+        Span::from_secs(bounds.get(class).copied().flatten().unwrap_or(0.0))
     }
 
-    fn decode_stale_reads(&self) -> Result<StaleReadHandling, NotANumber> {
+    /// No rule depends on how long an endpoint waits: the time is only checked.
+    fn decode_stale_reads(&self) -> Result<StaleReadHandling, DecodeSettingsError> {
         match self.when_behind.as_deref() {
             Some("refuse") => Ok(StaleReadHandling::Reject),
-            Some("wait") => Ok(StaleReadHandling::WaitThenReject(self.wait.or("wait", 0.0)?)),
+            Some("wait") => {
+                let wait = self.wait.or("wait", 0.0)?;
+                require_non_negative(wait, "specifics.wait")?;
+                Ok(StaleReadHandling::Reject)
+            }
             _ => Ok(StaleReadHandling::Serve),
         }
     }
 }
 
-fn decode_consistency(level: Option<&str>, staleness_bound: f64) -> Consistency {
+/// A time that is given in seconds; `default` where it is absent.
+fn span(number: Number, field: &'static str, default: f64) -> Result<Span, NotANumber> {
+    Ok(Span::from_secs(number.or(field, default)?))
+}
+
+/// A number that may be absent.
+fn optional(number: Number, field: &'static str) -> Result<Option<f64>, NotANumber> {
+    Ok(Some(number.or(field, f64::INFINITY)?).filter(|number| number.is_finite()))
+}
+
+fn decode_consistency(level: Option<&str>, staleness_bound: Span) -> Consistency {
     match level {
         Some("write") => Consistency::Write,
         Some("session") => Consistency::Session,
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -2,6 +2,7 @@
 use serde_json::json;
 
 use super::*;
+use crate::time::tests::secs;
 
 /// Decodes a settings object; the error is its message.
 fn decode(settings: &Value) -> Result<Settings, String> {
@@ -20,10 +21,10 @@
 
 fn default_class() -> RequestClass {
     RequestClass {
-        latency_objective: 1.0,
+        latency_objective: secs(1.0),
         latency_objective_factor: 0.0,
-        deadline: 1.0,
-        deduplication_window: 0.0,
+        deadline: secs(1.0),
+        deduplication_window: secs(0.0),
         idempotency: Idempotency::NonIdempotent,
         deduplication_scope: DeduplicationScope::Group,
         late_weight: 0.0,
@@ -40,20 +41,20 @@
         pooler_count: 1,
         zone: 0,
         shares_host_clock: true,
-        tick: 0.005,
+        tick: secs(0.005),
         health_checks: false,
         cancellation: false,
         hedging: false,
         max_attempts: 1,
         send_retry_after: false,
-        max_retry_after: 0.0,
-        connect_timeout: 0.25,
+        max_retry_after: secs(0.0),
+        connect_timeout: secs(0.25),
         watch_endpoints: false,
-        max_watch_gap: 10.0,
+        max_watch_gap: secs(10.0),
         initial_capacity: 1.0,
-        slow_start_window: 0.0,
-        overload_limit: f64::INFINITY,
-        overload_window: 1.0,
+        slow_start_window: secs(0.0),
+        overload_limit: None,
+        overload_window: secs(1.0),
         removal_is_advisory: false,
         stale_reads: StaleReadHandling::Serve,
         session_tokens_carried: false,
@@ -101,10 +102,10 @@
                       "stalenessBound": [1, 2, 3], "whenBehind": "wait", "wait": 18, "writeMarks": "carried"},
     });
     let first = RequestClass {
-        latency_objective: 2.0,
+        latency_objective: secs(2.0),
         latency_objective_factor: 0.5,
-        deadline: 3.0,
-        deduplication_window: 4.0,
+        deadline: secs(3.0),
+        deduplication_window: secs(4.0),
         idempotency: Idempotency::IdempotencyKey,
         deduplication_scope: DeduplicationScope::AnyEndpoint,
         late_weight: 0.25,
@@ -116,31 +117,31 @@
         consistency: Consistency::Session,
         ..default_class()
     };
-    let third = RequestClass { consistency: Consistency::BoundedStaleness(3.0), ..default_class() };
+    let third = RequestClass { consistency: Consistency::BoundedStaleness(secs(3.0)), ..default_class() };
     let fifth = RequestClass { consistency: Consistency::Strong, ..default_class() };
     let expected = Settings {
         classes: vec![first, second, third, default_class(), fifth],
-        tenant_quota: vec![7.0, f64::INFINITY, f64::INFINITY],
+        tenant_quota: vec![Some(7.0), None, None],
         over_quota_weight: 0.75,
         pooler_count: 8,
         zone: 9,
         shares_host_clock: true,
-        tick: 0.5,
+        tick: secs(0.5),
         health_checks: true,
         cancellation: true,
         hedging: true,
         max_attempts: 10,
         send_retry_after: true,
-        max_retry_after: 11.0,
-        connect_timeout: 12.0,
+        max_retry_after: secs(11.0),
+        connect_timeout: secs(12.0),
         watch_endpoints: true,
-        max_watch_gap: 13.0,
+        max_watch_gap: secs(13.0),
         initial_capacity: 14.0,
-        slow_start_window: 15.0,
-        overload_limit: 16.0,
-        overload_window: 17.0,
+        slow_start_window: secs(15.0),
+        overload_limit: Some(16.0),
+        overload_window: secs(17.0),
         removal_is_advisory: true,
-        stale_reads: StaleReadHandling::WaitThenReject(18.0),
+        stale_reads: StaleReadHandling::Reject,
         session_tokens_carried: true,
     };
     assert_same(&decode(&settings).unwrap(), &expected);
@@ -221,9 +222,9 @@
 #[rstest]
 #[case::no_level(json!([null]), json!([1]), Consistency::Strong)]
 #[case::unknown_level(json!(["odd"]), json!([1]), Consistency::Strong)]
-#[case::bound(json!(["bounded"]), json!([1.5]), Consistency::BoundedStaleness(1.5))]
-#[case::no_bound(json!(["bounded"]), json!([]), Consistency::BoundedStaleness(0.0))]
-#[case::bound_of_a_wrong_type(json!(["bounded"]), json!(["1.5"]), Consistency::BoundedStaleness(0.0))]
+#[case::bound(json!(["bounded"]), json!([1.5]), Consistency::BoundedStaleness(secs(1.5)))]
+#[case::no_bound(json!(["bounded"]), json!([]), Consistency::BoundedStaleness(secs(0.0)))]
+#[case::bound_of_a_wrong_type(json!(["bounded"]), json!(["1.5"]), Consistency::BoundedStaleness(secs(0.0)))]
 fn a_consistency_level_is_decoded(
     #[case] levels: Value,
     #[case] bounds: Value,
@@ -250,5 +251,13 @@
 #[test]
 fn a_field_that_is_given_twice_has_its_last_value() {
     let settings = serde_json::from_str(r#"{"classes":[],"tick":1,"tick":2}"#).unwrap();
-    assert_eq!(decode(&settings).unwrap().tick, 2.0);
+    assert_eq!(decode(&settings).unwrap().tick, secs(2.0));
+}
+
+/// No rule reads how long an endpoint waits for its data, but a time out of range is an error all the same.
+#[test]
+fn the_wait_for_recent_data_has_its_range() {
+    let settings = |wait: f64| json!({"classes": [], "specifics": {"whenBehind": "wait", "wait": wait}});
+    assert_eq!(decode(&settings(-1.0)).unwrap_err(), "'specifics.wait' must be finite and not negative");
+    assert!(decode(&settings(0.5)).is_ok());
 }
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,6 +1,7 @@
-//! What the policy tells the program that hosts it to do.
+//! What the program that hosts the policy has to do.
 
 use super::{EndpointId, RequestId};
+use crate::time::{LocalInstant, Span};
 use std::fmt;
 
 /// Something to be done; the actions of one event are carried out in their order.
@@ -12,8 +13,8 @@
         id: RequestId,
         /// Where to send it.
         endpoint: EndpointId,
-        /// Timeout of the attempt.
-        timeout: f64,
+        /// How long the client still waits for the answer.
+        timeout: Span,
     },
     /// Cancel an attempt.
     CancelAttempt {
@@ -26,8 +27,8 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries; 0 for no advice.
-        retry_after: f64,
+        /// How long the client should wait before it retries, where that is advised.
+        retry_after: Option<Span>,
     },
     /// Final answer: failed; the request may have been executed.
     Fail {
@@ -37,7 +38,7 @@
     /// Set a timer.
     SetTimer {
         /// When it expires.
-        at: f64,
+        at: LocalInstant,
         /// The value that its [`Event::Timer`](super::Event::Timer) carries.
         cookie: u64,
     },
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,6 +1,7 @@
 //! What the program that hosts the policy reports to it.
 
-use super::{Endpoint, EndpointId, LoadReport, Outcome, RequestId, UpdateKind};
+use super::{Endpoint, EndpointId, LoadReport, Outcome, RequestId, Role, UpdateKind};
+use crate::time::{LogPosition, Span};
 use std::sync::Arc;
 
 /// A request as it was received from a client.
@@ -13,17 +14,15 @@
     /// The group that holds its data.
     pub group: u32,
     /// Time until the client stops waiting.
-    pub timeout: f64,
+    pub timeout: Span,
     /// Age of the session's last write, where the client carries it.
-    pub session_token_age: Option<f64>,
+    pub session_token_age: Option<Span>,
     /// Its session.
     pub session: Option<Arc<str>>,
     /// Its tenant, by number; a number that the settings do not have is not limited by a quota.
     pub tenant: usize,
-    /// Predicted work (seconds), where known.
-    pub predicted_work: Option<f64>,
-    /// Whether the client marked it as a retry of its own.
-    pub client_retry: bool,
+    /// Predicted work, where known.
+    pub predicted_work: Option<Span>,
 }
 
 /// How an attempt ended.
@@ -40,11 +39,11 @@
     /// Whether the request has had its final answer.
     pub request_finished: bool,
     /// Time since the attempt was sent.
-    pub elapsed: f64,
+    pub elapsed: Span,
     /// Log position that came with the answer; for a write, its commit.
-    pub log_position: Option<f64>,
-    /// Role that came with the answer: true from a primary.
-    pub primary: Option<bool>,
+    pub log_position: Option<LogPosition>,
+    /// Role that came with the answer.
+    pub role: Option<Role>,
     /// The load report that came with the answer, if any.
     pub report: LoadReport,
 }
@@ -96,7 +95,7 @@
 
 impl Event {
     /// A plain request of the first tenant, without session or predicted work.
-    pub fn request(id: &str, class: usize, group: u32, timeout: f64) -> Event {
+    pub fn request(id: &str, class: usize, group: u32, timeout: Span) -> Event {
         Event::Request(Request {
             id: id.into(),
             class,
@@ -106,7 +105,6 @@
             session: None,
             tenant: 0,
             predicted_work: None,
-            client_retry: false,
         })
     }
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,8 @@
 //! The messages between a [`Policy`](crate::Policy) and the program that hosts it: [`Event`]s go in and
 //! [`Action`]s come out. Types only: no decision is taken here.
 //!
-//! All times are in seconds. Points in time, log positions included, are on one monotonic clock that the
-//! hosting program supplies.
+//! The hosting program supplies the time with each event. Times on its own clock and on the clock of the database
+//! hosts are types of their own, see [`crate::time`].
 
 mod action;
 mod event;
@@ -12,6 +12,8 @@
 pub use action::{Action, StateChange};
 pub use event::{AttemptResult, Event, Request};
 
+use crate::time::{ClusterInstant, LogPosition};
+
 /// Identifies a request; opaque to the policy.
 pub type RequestId = Arc<str>;
 /// Identifies an endpoint, which is one database host; opaque to the policy.
@@ -25,10 +27,20 @@
     Serving,
     /// It completes the requests that it has and takes no new ones.
     Draining,
-    /// It is gone.
+    /// It was removed from the list.
     Removed,
 }
 
+/// The role of an endpoint in its group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
+pub enum Role {
+    /// It takes writes.
+    Primary,
+    /// It applies the log of the primary and takes reads.
+    #[default]
+    Replica,
+}
+
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
@@ -40,10 +52,10 @@
     pub group: u32,
     /// Whether it takes requests.
     pub status: EndpointStatus,
-    /// When it last started; 0 means long ago.
-    pub started_at: f64,
-    /// Whether the list names it as its group's primary.
-    pub primary: bool,
+    /// When it last started; `None` for long ago.
+    pub started_at: Option<ClusterInstant>,
+    /// The role that the list gives it.
+    pub role: Role,
 }
 
 /// What an update of the endpoint list contains.
@@ -51,9 +63,9 @@
 pub enum UpdateKind {
     /// The entries that have changed.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Snapshot,
-    /// The whole list as it was cached before a restart.
+    /// The complete list as it was cached before a restart.
     Cached,
     /// Nothing: a call failed or the watch broke, and the list held so far stays in force.
     WatchFailed,
@@ -63,9 +75,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// The log position that it had applied.
-    pub log_position: Option<f64>,
-    /// Whether it was the primary.
-    pub primary: Option<bool>,
+    pub log_position: Option<LogPosition>,
+    /// The role that it had.
+    pub role: Option<Role>,
 }
 
 /// How an attempt or a health check ended.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,16 +5,20 @@
 //! hosts a policy passes events to it and carries out the actions that it gets back:
 //!
 //! ```
-//! use pg_pooler::interface::{Action, Endpoint, EndpointStatus, Event, UpdateKind};
+//! use pg_pooler::interface::{Action, Endpoint, EndpointStatus, Event, Role, UpdateKind};
 //! use pg_pooler::settings::Settings;
+//! use pg_pooler::time::{LocalInstant, Span};
 //! use pg_pooler::Policy;
 //!
 //! let mut policy = Policy::new(Settings::default(), 7).expect("the defaults are in range");
 //! let mut actions = Vec::new();
 //! let id = "10.0.0.1:9000".into();
-//! let endpoint = Endpoint { id, status: EndpointStatus::Serving, primary: true, ..Endpoint::default() };
-//! policy.handle(0.0, Event::Endpoints { kind: UpdateKind::Cached, endpoints: vec![endpoint] }, &mut actions);
-//! policy.handle(0.1, Event::request("r1", 0, 0, 1.0), &mut actions);
+//! let endpoint = Endpoint { id, status: EndpointStatus::Serving, role: Role::Primary, ..Endpoint::default() };
+//! let start = LocalInstant::from_secs(100.0);
+//! let list = Event::Endpoints { kind: UpdateKind::Cached, endpoints: vec![endpoint] };
+//! policy.handle(start, list, &mut actions);
+//! let request = Event::request("r1", 0, 0, Span::from_secs(1.0));
+//! policy.handle(start + Span::from_secs(0.1), request, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
 //! ```
 
@@ -30,6 +34,7 @@
 mod policy;
 pub mod settings;
 mod state;
+pub mod time;
 mod transient_error;
 
 pub use policy::Policy;
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -1,6 +1,7 @@
 //! The load report of a database host: names and values such as `x0=1767225600.123,x1=1`.
 
-use crate::interface::LoadReport;
+use crate::interface::{LoadReport, Role};
+use crate::time::LogPosition;
 
 /// The field that holds the applied log position (Unix seconds).
 pub(crate) const LOG_POSITION_FIELD: &str = "x0";
@@ -15,8 +16,8 @@
         let (name, value) = pair.split_once('=')?;
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite())?;
         match name.trim() {
-            LOG_POSITION_FIELD => report.log_position = Some(value),
-            PRIMARY_FIELD => report.primary = Some(value == 1.0),
+            LOG_POSITION_FIELD => report.log_position = Some(LogPosition::from_secs(value)),
+            PRIMARY_FIELD => report.role = Some(if value == 1.0 { Role::Primary } else { Role::Replica }),
             _ => {}
         }
     }
--- a/src/net/backend/reply/tests.rs
+++ b/src/net/backend/reply/tests.rs
@@ -3,6 +3,7 @@
 use rstest::rstest;
 
 use super::*;
+use crate::interface::Role;
 use crate::net::buffer::MemoryBudget;
 use crate::net::Statement;
 
@@ -73,7 +74,7 @@
 fn a_health_check_keeps_the_report_and_no_value() {
     let (reply, last) = receive("TDC", &Task::HealthCheck, 0);
     assert_eq!(last, Ok(ReplyStatus::Incomplete));
-    assert_eq!(reply.report.and_then(|report| report.primary), Some(true));
+    assert_eq!(reply.report.and_then(|report| report.role), Some(Role::Primary));
     assert!(reply.value.is_empty());
 }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -50,6 +50,7 @@
     /// Whether the query carries an idempotency key.
     pub has_idempotency_key: bool,
     /// Whether the client marked the query as a retry of its own.
+    #[allow(dead_code, reason = "no rule reads it; it goes with the next change of the parser")]
     pub client_retry: bool,
     /// The session that the query belongs to, where it names one.
     pub session: Option<String>,
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -4,6 +4,7 @@
 use crate::interface::{Action, EndpointId, RequestId, StateChange};
 use crate::net::reactor::TimerEvent;
 use crate::net::{Context, Response, Task};
+use crate::time::Span;
 
 impl Pooler {
     /// Executes actions in their order.
@@ -15,17 +16,22 @@
 
     fn execute_one(&mut self, action: Action, context: &mut Context) {
         match action {
-            Action::Send { id, endpoint, timeout } => self.send_attempt(id, &endpoint, timeout, context),
+            Action::Send { id, endpoint, timeout } => {
+                self.send_attempt(id, &endpoint, timeout.as_secs(), context)
+            }
             Action::CancelAttempt { id, attempt } => {
                 if let Some(connection) = self.requests.connection_of_attempt(&id, attempt) {
                     self.cancel_attempt(connection, context);
                 }
             }
             Action::Reject { id, retry_after } => {
+                let retry_after = retry_after.map_or(0.0, Span::as_secs);
                 self.finish_request(&id, Response::Rejected { retry_after }, context)
             }
             Action::Fail { id } => self.finish_request(&id, Response::Failed, context),
-            Action::SetTimer { at, cookie } => context.reactor.set_timer(at, TimerEvent::Policy(cookie)),
+            Action::SetTimer { at, cookie } => {
+                context.reactor.set_timer(at.as_secs(), TimerEvent::Policy(cookie))
+            }
             Action::HealthCheck { endpoint } => self.send_health_check(&endpoint, context),
             Action::CloseIdleConnections { endpoint } => self.backend.close_idle_connections(&endpoint),
             Action::Watch => self.discovery.listen(context),
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -2,9 +2,10 @@
 
 use super::request_table::ClientState;
 use super::Pooler;
-use crate::interface::{self, AttemptResult, Outcome, RequestId};
+use crate::interface::{self, AttemptResult, Outcome, RequestId, Role};
 use crate::net::messages::InvalidQuery;
 use crate::net::{Completion, Context, Response, Task};
+use crate::time::{LogPosition, Span};
 
 impl Pooler {
     /// Reports the end of a task to the policy and answers the client if the end decides its request.
@@ -41,9 +42,9 @@
             attempt,
             outcome,
             request_finished: response.is_some() || client == ClientState::Gone,
-            elapsed: completion.elapsed,
-            log_position: completion.log_position,
-            primary: completion.primary,
+            elapsed: Span::from_secs(completion.elapsed),
+            log_position: completion.log_position.map(LogPosition::from_secs),
+            role: completion.primary.map(|primary| if primary { Role::Primary } else { Role::Replica }),
             report: completion.report,
         };
         // The policy learns what the answer tells about the host before the client can act on the answer.
--- a/src/net/pooler/endpoints.rs
+++ b/src/net/pooler/endpoints.rs
@@ -2,8 +2,9 @@
 
 use super::Pooler;
 use crate::endpoint_list::ListedEndpoint;
-use crate::interface::{self, Endpoint, EndpointStatus, UpdateKind};
+use crate::interface::{self, Endpoint, EndpointStatus, Role, UpdateKind};
 use crate::net::Context;
+use crate::time::ClusterInstant;
 
 impl Pooler {
     /// Takes over an update of the endpoint list, or reports to the policy that the watch has failed.
@@ -30,7 +31,9 @@
     /// The entry in the form that the policy takes.
     fn endpoint(&self, listed: ListedEndpoint) -> Endpoint {
         let ListedEndpoint { name, zone, group, status, started_at, primary, .. } = listed;
-        Endpoint { id: name, zone: self.zone(&zone), group, status, started_at, primary }
+        let started_at = Some(started_at).filter(|at| *at > 0.0).map(ClusterInstant::from_secs);
+        let role = if primary { Role::Primary } else { Role::Replica };
+        Endpoint { id: name, zone: self.zone(&zone), group, status, started_at, role }
     }
 
     /// The number of a zone. A zone that the settings do not name is at least not the pooler's own.
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -19,6 +19,7 @@
 use super::reactor::{ConnectionId, EventSource, Handler, TimerEvent};
 use super::{Context, Event, Response};
 use crate::interface::{self, Action};
+use crate::time::LocalInstant;
 use crate::Policy;
 use queries::QueryTranslator;
 use request_table::RequestTable;
@@ -83,7 +84,7 @@
     /// Passes an event to the policy and returns its actions, which are still to be executed.
     fn decide(&mut self, event: interface::Event, context: &Context) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.policy.handle(context.reactor.now(), event, &mut actions);
+        self.policy.handle(LocalInstant::from_secs(context.reactor.now()), event, &mut actions);
         actions
     }
 
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -8,6 +8,7 @@
 use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Query, Response};
 use crate::settings::{Consistency, Idempotency};
+use crate::time::Span;
 
 /// What the pooler has to know of a request class.
 struct QueryClass {
@@ -65,12 +66,11 @@
             class,
             group: query.group,
             // The query may have waited behind others of its connection since it was received.
-            timeout: query.timeout - (now - query.received_at),
-            session_token_age: query.session_token.map(|committed_at| now - committed_at),
+            timeout: Span::from_secs(query.timeout - (now - query.received_at)),
+            session_token_age: query.session_token.map(|committed_at| Span::from_secs(now - committed_at)),
             session: session.map(Into::into),
             tenant: self.tenant(&query.tenant),
             predicted_work: None,
-            client_retry: query.client_retry,
         }
     }
 }
--- a/src/net/pooler/signals.rs
+++ b/src/net/pooler/signals.rs
@@ -46,7 +46,7 @@
 /// The Retry-After of queries that are rejected during the shutdown (seconds); 0 for no advice.
 pub(super) fn shutdown_retry_after(settings: &Settings) -> f64 {
     if settings.send_retry_after {
-        SHUTDOWN_RETRY_AFTER.min(settings.max_retry_after)
+        SHUTDOWN_RETRY_AFTER.min(settings.max_retry_after.as_secs())
     } else {
         0.0
     }
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -106,19 +106,24 @@
         let budget = MemoryBudget::new(config.memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
-        let longest_deadline = settings.longest_deadline();
+        let longest_deadline = settings.longest_deadline().as_secs();
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
         let mut pooler = Pooler {
             policy,
             frontend,
-            backend: Backend::new(limits.hosts, budget.clone(), config.keepalive, settings.connect_timeout),
+            backend: Backend::new(
+                limits.hosts,
+                budget.clone(),
+                config.keepalive,
+                settings.connect_timeout.as_secs(),
+            ),
             discovery: Discovery::new(config.discovery, config.known.index, budget),
             signals,
             requests: RequestTable::default(),
             queries: QueryTranslator::new(config),
             zones: config.zones.clone(),
-            health_check_timeout: settings.connect_timeout,
+            health_check_timeout: settings.connect_timeout.as_secs(),
             longest_deadline,
             shutdown_retry_after: shutdown_retry_after(settings),
             reload: Reload::new(path),
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -4,6 +4,7 @@
 use crate::interface::{Action, StateChange};
 use crate::settings::RequestClass;
 use crate::state::{EndpointKey, LatencyEstimator, PendingRequest, RequestKey};
+use crate::time::Span;
 
 /// Share of the latency objective that the predicted latency may take, for the lowest priority ...
 const MIN_OBJECTIVE_SHARE: f64 = 0.45;
@@ -16,11 +17,11 @@
 /// Smallest burst of a tenant: with many poolers, one second of its quota is less than one request.
 pub(super) const MIN_TENANT_BURST: f64 = 2.0;
 /// Load shedding is logged again once it has paused for this long (seconds).
-const SHEDDING_LOG_INTERVAL: f64 = 1.0;
+const SHEDDING_LOG_INTERVAL: Span = Span::from_secs(1.0);
 
 impl Policy {
     /// Expected latency of one more request, from the recent latency of its class and the endpoint's load.
-    pub(super) fn predicted_latency(&self, endpoint: EndpointKey, class: usize) -> f64 {
+    pub(super) fn predicted_latency(&self, endpoint: EndpointKey, class: usize) -> Span {
         let load = &self.endpoints[endpoint].load;
         let load_factor = (f64::from(load.total(self.now)) + 1.0) / (load.usual + 1.0);
         self.latency[class].mean * load.latency_ratio.max(0.5) * load_factor.max(1.0)
@@ -48,7 +49,7 @@
     }
 
     /// Some requests are admitted whatever the prediction, so that estimates can recover: few per pooler.
-    fn always_admits(&self, endpoint: EndpointKey, predicted: f64) -> bool {
+    fn always_admits(&self, endpoint: EndpointKey, predicted: Span) -> bool {
         let load = &self.endpoints[endpoint].load;
         let own_share = ALWAYS_ADMITTED / f64::from(self.settings.pooler_count);
         let has_few = f64::from(load.total(self.now) + 1) <= own_share;
@@ -56,10 +57,10 @@
     }
 
     pub(super) fn shed(&mut self, key: RequestKey) {
-        if self.now >= self.shedding_until {
+        if self.shedding_until.is_none_or(|until| self.now >= until) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
         }
-        self.shedding_until = self.now + SHEDDING_LOG_INTERVAL;
+        self.shedding_until = Some(self.now + SHEDDING_LOG_INTERVAL);
         self.reject_or_fail(key);
     }
 
@@ -72,8 +73,8 @@
             let is_useless = is_late && class.late_weight == 0.0;
             let soon = class.latency_objective * RETRY_AFTER_SHARE;
             let wait = if is_useless { class.deadline } else { soon };
-            let longest = if self.settings.send_retry_after { self.settings.max_retry_after } else { 0.0 };
-            let retry_after = (wait * (0.5 + self.rng.f64())).min(longest);
+            let wait = (wait * (0.5 + self.rng.f64())).min(self.settings.max_retry_after);
+            let retry_after = self.settings.send_retry_after.then_some(wait);
             self.actions.push(Action::Reject { id, retry_after });
         } else {
             self.actions.push(Action::Fail { id });
@@ -84,5 +85,5 @@
 
 /// Weight over the root of the latency: of equal weights the quicker class is preferred, but not strictly.
 fn priority(class: &RequestClass, latency: &LatencyEstimator) -> f64 {
-    class.priority_weight / latency.mean.max(1e-3).sqrt()
+    class.priority_weight / latency.mean.as_secs().max(1e-3).sqrt()
 }
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -4,6 +4,7 @@
 use super::{NoRoute, Policy, Route, SAMPLE_WEIGHT};
 use crate::interface::{Action, Request, RequestId};
 use crate::state::{Attempt, EndpointKey, PendingRequest, RequestKey};
+use crate::time::{LocalInstant, Span};
 
 /// Retry tokens earned by each request: 10% more attempts cannot amplify an overload.
 const RETRIES_PER_REQUEST: f64 = 0.1;
@@ -12,29 +13,29 @@
 /// Share of its time that a request may wait unsent, which leaves its client time to retry elsewhere.
 const QUEUE_TIME_SHARE: f64 = 0.5;
 /// How long the program may be held up between a decision and the write that follows from it (seconds).
-const MAX_HOLD_UP: f64 = 0.15;
+const MAX_HOLD_UP: Span = Span::from_secs(0.15);
 /// Weight of a new sample in the share of reads, which changes slowly: about fifty requests.
 const READ_SHARE_WEIGHT: f64 = 0.02;
 
 impl Policy {
     pub(super) fn request_received(&mut self, request: Request) {
         if request.class >= self.settings.classes.len() {
-            return self.actions.push(Action::Reject { id: request.id, retry_after: 0.0 });
+            return self.actions.push(Action::Reject { id: request.id, retry_after: None });
         }
         let (now, tick) = (self.now, self.settings.tick);
         let class = self.class(request.class);
         // A request cannot claim a longer deadline than its class has.
-        let time_left = request.timeout.clamp(0.0, class.deadline);
-        let stretch = class.latency_objective_factor * request.predicted_work.unwrap_or(0.0);
+        let time_left = request.timeout.clamp(Span::ZERO, class.deadline);
+        let stretch = class.latency_objective_factor * request.predicted_work.unwrap_or_default();
         let objective = (class.latency_objective + stretch).min(time_left);
-        let queue_until = now + (time_left * QUEUE_TIME_SHARE - tick).max(0.0);
+        let queue_until = now + (time_left * QUEUE_TIME_SHARE - tick).max(Span::ZERO);
         let is_read = f64::from(u8::from(!class.needs_primary()));
         let session_token = self.session_token(&request);
         self.read_share += READ_SHARE_WEIGHT * (is_read - self.read_share);
         self.retry_budget.deposit(RETRIES_PER_REQUEST);
         self.health_check_budget.deposit(HEALTH_CHECKS_PER_REQUEST);
         let quota = self.tenant_quotas.get_mut(request.tenant);
-        let over_quota = quota.is_some_and(|quota| !quota.refill(now).withdraw());
+        let over_quota = quota.and_then(Option::as_mut).is_some_and(|quota| !quota.refill(now).withdraw());
         self.count_group_request(request.group);
         let key = self.requests.insert(PendingRequest {
             objective_at: now + objective,
@@ -123,8 +124,9 @@
         // window.
         let class = self.class(request.class);
         let first_sent_at = request.may_have_run_since();
-        let window_end =
-            first_sent_at.map_or(f64::INFINITY, |sent_at| class.repeatable_until(sent_at) - MAX_HOLD_UP);
+        let window_end = first_sent_at.map_or(LocalInstant::from_secs(f64::INFINITY), |sent_at| {
+            class.repeatable_until(sent_at) - MAX_HOLD_UP
+        });
         let timeout = (request.deadline.min(window_end) - self.now).max(self.settings.tick);
         self.actions.push(Action::Send { id: request.id.clone(), endpoint: endpoint.id.clone(), timeout });
         self.spend_slow_start_budget(to);
--- a/src/policy/cluster_time.rs
+++ b/src/policy/cluster_time.rs
@@ -5,9 +5,10 @@
 
 use super::Policy;
 use crate::state::{ClusterClock, OffsetBound, OffsetInterval};
+use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
 
 /// How far a log position may lie in the future, for the sake of rounding (seconds).
-const POSITION_ROUNDING: f64 = 0.001;
+const POSITION_ROUNDING: Span = Span::from_secs(0.001);
 /// By how much two clocks may drift apart, as a share of the time that passes.
 const MAX_DRIFT: f64 = 200e-6;
 
@@ -15,10 +16,10 @@
     /// Takes in a time that had come on the hosts' clock when it was received. That the pooler's clock is
     /// behind is believed of primaries only: a single wrong time in the future would be taken for the
     /// present.
-    pub(crate) fn observe_past_time(&mut self, time: f64, received_at: f64) {
-        let offset = time - POSITION_ROUNDING - received_at;
-        let greatest = self.known_max_offset(received_at).unwrap_or(0.0);
-        if !self.is_shared && offset.is_finite() {
+    pub(crate) fn observe_past_time(&mut self, time: ClusterInstant, received_at: LocalInstant) {
+        let offset = (time - POSITION_ROUNDING).offset_from(received_at);
+        let greatest = self.known_max_offset(received_at).unwrap_or_default();
+        if !self.is_shared && offset.as_secs().is_finite() {
             self.raise_min_offset(offset.min(greatest), received_at);
         }
     }
@@ -27,9 +28,15 @@
     ///
     /// An answer that contradicts what is known so far, or the pooler's clock while nothing is known, counts
     /// once a second one agrees with it.
-    pub(crate) fn observe_present_time(&mut self, time: f64, sent_at: f64, received_at: f64) {
-        let (min, max) = (time - POSITION_ROUNDING - received_at, time + POSITION_ROUNDING - sent_at);
-        if self.is_shared || !min.is_finite() {
+    pub(crate) fn observe_present_time(
+        &mut self,
+        time: ClusterInstant,
+        sent_at: LocalInstant,
+        received_at: LocalInstant,
+    ) {
+        let min = (time - POSITION_ROUNDING).offset_from(received_at);
+        let max = (time + POSITION_ROUNDING).offset_from(sent_at);
+        if self.is_shared || !min.as_secs().is_finite() {
             return;
         }
         let shown = OffsetInterval { min, max };
@@ -48,73 +55,75 @@
         }
     }
 
-    fn raise_min_offset(&mut self, offset: f64, now: f64) {
+    fn raise_min_offset(&mut self, offset: Span, now: LocalInstant) {
         if self.known_min_offset(now).is_none_or(|known| offset > known) {
             self.min_offset = Some(OffsetBound { offset, found_at: now });
         }
     }
 
     /// The least offset that the hosts' clock may have at `now`, if there is evidence of it.
-    fn known_min_offset(&self, now: f64) -> Option<f64> {
+    fn known_min_offset(&self, now: LocalInstant) -> Option<Span> {
         if self.is_shared {
-            return Some(0.0);
+            return Some(Span::ZERO);
         }
         self.min_offset.map(|bound| bound.offset - MAX_DRIFT * (now - bound.found_at))
     }
 
     /// The greatest offset that the hosts' clock may have at `now`, if there is evidence of it.
-    fn known_max_offset(&self, now: f64) -> Option<f64> {
+    fn known_max_offset(&self, now: LocalInstant) -> Option<Span> {
         if self.is_shared {
-            return Some(0.0);
+            return Some(Span::ZERO);
         }
         self.max_offset.map(|bound| bound.offset + MAX_DRIFT * (now - bound.found_at))
     }
 
     /// The offsets that agree with what primaries have shown; none at all while they have shown nothing.
-    fn known_interval(&self, now: f64) -> OffsetInterval {
-        let Some(max) = self.known_max_offset(now) else { return OffsetInterval { min: 0.0, max: 0.0 } };
+    fn known_interval(&self, now: LocalInstant) -> OffsetInterval {
+        let Some(max) = self.known_max_offset(now) else {
+            return OffsetInterval { min: Span::ZERO, max: Span::ZERO };
+        };
         OffsetInterval { min: self.known_min_offset(now).unwrap_or(max), max }
     }
 
     /// The likely offset: none, as far as the bounds allow that.
-    fn likely_offset(&self, now: f64) -> f64 {
-        let max = self.known_max_offset(now).unwrap_or(0.0);
+    fn likely_offset(&self, now: LocalInstant) -> Span {
+        let max = self.known_max_offset(now).unwrap_or_default();
         // Evidence of replicas alone tells how far they may lag, and not how far the clock is wrong.
-        let min = self.known_max_offset(now).and(self.known_min_offset(now)).unwrap_or(0.0);
-        0f64.min(max).max(min)
+        let min = self.known_max_offset(now).and(self.known_min_offset(now)).unwrap_or_default();
+        Span::ZERO.min(max).max(min)
     }
 
     /// The latest time that it may be on the hosts' clock at `now`.
-    pub(crate) fn latest(&self, now: f64) -> f64 {
-        now + self.known_max_offset(now).unwrap_or(f64::INFINITY)
+    pub(crate) fn latest(&self, now: LocalInstant) -> ClusterInstant {
+        now.to_cluster(self.known_max_offset(now).unwrap_or(Span::from_secs(f64::INFINITY)))
     }
 
     /// The earliest time that it may be on the hosts' clock at `now`.
-    pub(crate) fn earliest(&self, now: f64) -> f64 {
-        now + self.known_min_offset(now).unwrap_or(f64::NEG_INFINITY)
+    pub(crate) fn earliest(&self, now: LocalInstant) -> ClusterInstant {
+        now.to_cluster(self.known_min_offset(now).unwrap_or(Span::from_secs(f64::NEG_INFINITY)))
     }
 
     /// The time that it probably is on the hosts' clock at `now`.
-    pub(crate) fn likely(&self, now: f64) -> f64 {
-        now + self.likely_offset(now)
+    pub(crate) fn likely(&self, now: LocalInstant) -> ClusterInstant {
+        now.to_cluster(self.likely_offset(now))
     }
 
     /// A time on the hosts' clock in terms of the pooler's, as it probably is at `now`.
-    pub(crate) fn to_local(self, time: f64, now: f64) -> f64 {
-        time - self.likely_offset(now)
+    pub(crate) fn to_local(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
+        time.to_local(self.likely_offset(now))
     }
 
     /// Whether a log position may have been reached by `now`.
-    pub(crate) fn is_credible(&self, position: f64, now: f64) -> bool {
-        let greatest = self.known_max_offset(now).unwrap_or(0.0);
-        position.is_finite() && position <= now + greatest + POSITION_ROUNDING
+    pub(crate) fn is_credible(&self, position: LogPosition, now: LocalInstant) -> bool {
+        let greatest = self.known_max_offset(now).unwrap_or_default();
+        position.as_secs().is_finite() && position <= now.to_cluster(greatest) + POSITION_ROUNDING
     }
 }
 
 impl Policy {
     /// The present on the hosts' clock, by which the age of data counts. Where hosts serve stale reads, it
     /// must not be too early; where they check reads themselves, a wrong guess costs no more than an attempt.
-    pub(super) fn present_for_reads(&self, now: f64) -> f64 {
+    pub(super) fn present_for_reads(&self, now: LocalInstant) -> ClusterInstant {
         if self.settings.stale_reads.is_checked() {
             self.clock.likely(now)
         } else {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -3,11 +3,12 @@
 use super::Policy;
 use crate::interface::{Action, Endpoint, EndpointStatus, StateChange, UpdateKind};
 use crate::state::{EndpointKey, Group};
+use crate::time::Span;
 
 /// Longest mean backoff between calls (seconds): the list must be current 6 s after discovery is back.
-const MAX_WATCH_BACKOFF: f64 = 0.8;
+const MAX_WATCH_BACKOFF: Span = Span::from_secs(0.8);
 /// A call without any answer is repeated after this time (seconds).
-const WATCH_CALL_TIMEOUT: f64 = 4.0;
+const WATCH_CALL_TIMEOUT: Span = Span::from_secs(4.0);
 const MAX_COUNTED_FAILURES: i32 = 8;
 /// A removed endpoint is forgotten after this multiple of the watch gap, far beyond every deadline.
 pub(super) const FORGET_AFTER: f64 = 3.0;
@@ -36,12 +37,12 @@
         }
         if kind == UpdateKind::Cached {
             // After a restart no writes are remembered: any session may have written until now.
-            self.unknown_writes_until = self.now;
+            self.unknown_writes_until = Some(self.now);
         } else if self.watch.succeeded() {
             self.actions.push(Action::Log(StateChange::WatchRestored));
         }
-        for entry in entries.iter().filter(|entry| entry.started_at > 0.0) {
-            self.clock.observe_past_time(entry.started_at, self.now);
+        for started_at in entries.iter().filter_map(|entry| entry.started_at) {
+            self.clock.observe_past_time(started_at, self.now);
         }
         self.endpoints.apply(kind, entries, self.now);
         for group in self.endpoints.group_ids() {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,6 +17,7 @@
 use crate::settings::{validate, Settings, SettingsError};
 pub use crate::state::Policy;
 use crate::state::{EndpointKey, LatencyEstimator, TokenBucket};
+use crate::time::{LocalInstant, Span};
 
 /// Cookie of the housekeeping timer; requests use their own key, from 1.
 const HOUSEKEEPING_COOKIE: u64 = 0;
@@ -41,20 +42,23 @@
         let mut policy = Policy::empty(settings, fastrand::Rng::with_seed(seed));
         let classes = &policy.settings.classes;
         let objectives = classes.iter().map(|class| class.latency_objective);
-        let shortest_objective = objectives.clone().fold(1.0, f64::min);
-        policy.housekeeping_interval = (shortest_objective * HOUSEKEEPING_SHARE).clamp(0.01, 0.1);
+        let shortest_objective = objectives.clone().fold(Span::from_secs(1.0), Span::min);
+        policy.housekeeping_interval =
+            (shortest_objective * HOUSEKEEPING_SHARE).clamp(Span::from_secs(0.01), Span::from_secs(0.1));
         policy.latency =
             objectives.map(|objective| LatencyEstimator::new(objective * INITIAL_LATENCY)).collect();
         policy.retry_budget = TokenBucket::new(attempts::MAX_RETRIES / 2.0, attempts::MAX_RETRIES);
         policy.health_check_budget = TokenBucket::full(primary_search::MAX_HEALTH_CHECKS);
         let poolers = f64::from(policy.settings.pooler_count);
-        let bucket = |quota: &f64| TokenBucket::earning(quota / poolers, admission::MIN_TENANT_BURST);
+        let bucket = |quota: &Option<f64>| {
+            quota.map(|quota| TokenBucket::earning(quota / poolers, admission::MIN_TENANT_BURST))
+        };
         policy.tenant_quotas = policy.settings.tenant_quota.iter().map(bucket).collect();
         Ok(policy)
     }
 
     /// Handles one event at the time `now` and appends the resulting actions.
-    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: LocalInstant, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
             Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -3,6 +3,7 @@
 use super::Policy;
 use crate::interface::{Action, StateChange};
 use crate::state::{EndpointKey, OutlierDetector};
+use crate::time::{LocalInstant, Span};
 use fastrand::Rng;
 
 /// Failure score at which an endpoint is ejected: two plain failures or one dead process.
@@ -22,7 +23,13 @@
 
 impl OutlierDetector {
     /// Adds a failure to the score. Returns whether it ejects the endpoint. `unit` is the connect timeout.
-    pub(crate) fn record_failure(&mut self, weight: f64, now: f64, unit: f64, rng: &mut Rng) -> bool {
+    pub(crate) fn record_failure(
+        &mut self,
+        weight: f64,
+        now: LocalInstant,
+        unit: Span,
+        rng: &mut Rng,
+    ) -> bool {
         let half_lives = (now - self.score_updated_at) / (unit * SCORE_HALF_LIFE);
         self.failure_score = self.failure_score * 0.5f64.powf(half_lives) + weight;
         self.score_updated_at = now;
@@ -40,7 +47,7 @@
     }
 
     /// Notes that a request was served. Returns whether that reinstates the endpoint.
-    pub(crate) fn record_success(&mut self, now: f64) -> bool {
+    pub(crate) fn record_success(&mut self, now: LocalInstant) -> bool {
         self.failure_score *= 0.5;
         let is_reinstated = std::mem::take(&mut self.is_ejected);
         if is_reinstated {
@@ -51,7 +58,7 @@
     }
 
     /// Whether the endpoint is ejected and may have the one request that tries it.
-    pub(crate) fn is_trial_due(&self, now: f64) -> bool {
+    pub(crate) fn is_trial_due(&self, now: LocalInstant) -> bool {
         self.is_ejected && now >= self.ejected_until && !self.trial_in_flight
     }
 }
--- a/src/policy/primary_search.rs
+++ b/src/policy/primary_search.rs
@@ -4,6 +4,7 @@
 use super::Policy;
 use crate::interface::{Action, EndpointId, LoadReport, Outcome};
 use crate::state::{EndpointKey, PendingRequest, RequestKey};
+use crate::time::LogPosition;
 
 /// Health-check tokens earned by each request, and their limit: all poolers search at the same moment.
 pub(super) const HEALTH_CHECKS_PER_REQUEST: f64 = 0.3;
@@ -40,8 +41,8 @@
         let endpoint = &self.endpoints[key];
         let max_age = self.shortest_staleness * REFRESH_AGE;
         let is_aging = self.is_local(key) && self.now - endpoint.log_position_at > max_age;
-        let is_unknown =
-            !self.settings.stale_reads.is_checked() && endpoint.log_position == f64::NEG_INFINITY;
+        let is_unknown = !self.settings.stale_reads.is_checked()
+            && endpoint.log_position == LogPosition::from_secs(f64::NEG_INFINITY);
         (is_aging || is_unknown) && self.now - endpoint.last_health_check_at > self.shortest_staleness
     }
 
@@ -88,7 +89,7 @@
         };
         let position = |endpoint: &EndpointKey| self.endpoints[*endpoint].log_position;
         let candidates = group.endpoints.iter().copied().filter(is_candidate);
-        let Some(target) = candidates.max_by(|a, b| position(a).total_cmp(&position(b))) else { return };
+        let Some(target) = candidates.max_by_key(position) else { return };
         let Some(group) = self.endpoints.groups.get_mut(&group_id) else { return };
         group.start_discovery(key);
         self.send(key, target);
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -4,6 +4,7 @@
 use super::{NoRoute, Policy, Route};
 use crate::settings::Consistency;
 use crate::state::{two_of, EndpointKey, PendingRequest, RequestKey};
+use crate::time::{LocalInstant, LogPosition};
 
 /// A read leaves its zone at more than this multiple of the load of the idlest remote replica ...
 const EXIT_MULTIPLE: u32 = 2;
@@ -15,7 +16,7 @@
 struct Read<'a> {
     request: &'a PendingRequest,
     is_eventual: bool,
-    needed: f64,
+    needed: LogPosition,
     slow_start_share: f64,
     draws: (usize, usize),
     primary: Option<EndpointKey>,
@@ -72,7 +73,8 @@
         let endpoint = &self.endpoints[endpoint];
         let lag = endpoint.lag(&self.clock);
         let has_caught_up = self.now - endpoint.log_position_at > lag;
-        let is_possible = self.clock.likely(self.now) - lag >= read.needed || has_caught_up || lag.is_nan();
+        let is_possible =
+            self.clock.likely(self.now) - lag >= read.needed || has_caught_up || lag.as_secs().is_nan();
         self.settings.stale_reads.is_checked() && is_possible && self.now >= endpoint.stale_until
     }
 
@@ -115,7 +117,7 @@
     /// and move from a busy one to the next most behind: a replica without load may be catching up.
     fn choose_most_behind(&self, read: &Read, mut fresh: Vec<EndpointKey>) -> EndpointKey {
         let position = |endpoint: &EndpointKey| self.endpoints[*endpoint].log_position;
-        fresh.sort_by(|a, b| position(a).total_cmp(&position(b)));
+        fresh.sort_by_key(position);
         let first_kept = fresh.windows(2).position(|pair| !self.should_leave(pair[0], pair[1]));
         let candidates = &fresh[first_kept.unwrap_or(fresh.len() - 1)..];
         // Only one more replica is tried, since long reads would delay the log of each of them.
@@ -144,8 +146,10 @@
             let is_admitted = self.slow_start_admits(read.request, endpoint, read.slow_start_share);
             health.is_ejected && (is_fresh || is_primary) && (is_due || answers) && is_admitted
         };
-        let until = |endpoint: EndpointKey| self.endpoints[endpoint].health.ejected_until.max(self.now);
+        let until = |endpoint: EndpointKey| -> LocalInstant {
+            self.endpoints[endpoint].health.ejected_until.max(self.now)
+        };
         let cost = |e: &EndpointKey| until(*e) + self.predicted_latency(*e, read.request.class);
-        read.untried.iter().copied().filter(is_usable).min_by(|a, b| cost(a).total_cmp(&cost(b)))
+        read.untried.iter().copied().filter(is_usable).min_by_key(cost)
     }
 }
--- a/src/policy/results.rs
+++ b/src/policy/results.rs
@@ -3,8 +3,9 @@
 use super::outlier_detection::{CONNECTION_LOST, CONNECTION_RESET, EJECTION_SCORE, FAILURE};
 use super::overdue::LATE_DEVIATIONS;
 use super::{Policy, SAMPLE_WEIGHT};
-use crate::interface::{Action, AttemptResult, LoadReport, Outcome};
+use crate::interface::{Action, AttemptResult, LoadReport, Outcome, Role};
 use crate::state::{Attempt, EndpointKey, RequestKey};
+use crate::time::Span;
 
 /// Fewer poolers than this cannot exhaust an endpoint's connections with idle ones.
 const MIN_CONNECTION_LIMIT: u32 = 200;
@@ -19,7 +20,9 @@
         if let Some((key, attempt)) = self.requests.close_attempt(result) {
             self.record_result(key, &attempt, result);
             let state = &self.endpoints[endpoint];
-            if self.now < self.connections_scarce_until && state.load.in_flight == 0 {
+            if self.connections_scarce_until.is_some_and(|until| self.now < until)
+                && state.load.in_flight == 0
+            {
                 self.actions.push(Action::CloseIdleConnections { endpoint: state.id.clone() });
             }
             self.remember_write(key, result);
@@ -32,12 +35,12 @@
     fn observe_answer(&mut self, endpoint: EndpointKey, result: &AttemptResult) {
         let (now, sent_at) = (self.now, self.requests.attempt(result).map(|attempt| attempt.sent_at));
         if let Some(position) = result.log_position {
-            match sent_at.filter(|_| result.primary == Some(true)) {
+            match sent_at.filter(|_| result.role == Some(Role::Primary)) {
                 Some(sent_at) => self.clock.observe_present_time(position, sent_at, now),
                 None => self.clock.observe_past_time(position, now),
             }
         }
-        let answer = LoadReport { log_position: result.log_position, primary: result.primary };
+        let answer = LoadReport { log_position: result.log_position, role: result.role };
         self.endpoints[endpoint].observe(&answer, true, &self.clock, now);
     }
 
@@ -66,7 +69,8 @@
             }
             // A replica that is behind needs at least as long as its lag to catch up.
             Outcome::Ineligible => {
-                let lag = (hosts_time - state.log_position).clamp(0.0, self.settings.slow_start_window);
+                let lag =
+                    (hosts_time - state.log_position).clamp(Span::ZERO, self.settings.slow_start_window);
                 state.stale_until = now + lag.max(self.settings.connect_timeout);
             }
             // Counts as load for a while: rejecting requests must not make an endpoint look idle.
@@ -93,13 +97,13 @@
     }
 
     /// A connection refused at once means a dead process or exhausted connections, most of them idle.
-    fn connect_failed(&mut self, endpoint: EndpointKey, attempt: &Attempt, elapsed: f64) {
+    fn connect_failed(&mut self, endpoint: EndpointKey, attempt: &Attempt, elapsed: Span) {
         let timeout = self.settings.connect_timeout;
         let state = &mut self.endpoints[endpoint];
         state.health.connect_failed_at = self.now;
         let is_refused = elapsed < timeout / 2.0;
         if is_refused && self.settings.pooler_count > MIN_CONNECTION_LIMIT {
-            self.connections_scarce_until = self.now + self.settings.max_watch_gap;
+            self.connections_scarce_until = Some(self.now + self.settings.max_watch_gap);
         }
         // If the endpoint has just answered other requests, only this connection may have failed.
         let is_dead = is_refused && self.now - state.last_response_at >= timeout;
--- a/src/policy/sessions.rs
+++ b/src/policy/sessions.rs
@@ -4,19 +4,23 @@
 use crate::interface::{AttemptResult, Outcome, Request};
 use crate::settings::Consistency;
 use crate::state::{PendingRequest, RequestKey};
+use crate::time::{LogPosition, Span};
 
 /// Number of remembered writes; a forgotten session counts as having written when the latest of them did.
 const MAX_SESSION_WRITES: usize = 20_000;
 /// Age after which a write is forgotten (seconds), far beyond the lag of any replica.
-const MAX_SESSION_AGE: f64 = 60.0;
+const MAX_SESSION_AGE: Span = Span::from_secs(60.0);
 
 impl Policy {
-    pub(super) fn session_token(&self, request: &Request) -> f64 {
+    pub(super) fn session_token(&self, request: &Request) -> LogPosition {
         if self.class(request.class).consistency != Consistency::Session {
-            return f64::NEG_INFINITY;
+            return LogPosition::from_secs(f64::NEG_INFINITY);
         }
         if self.settings.session_tokens_carried {
-            return request.session_token_age.map_or(f64::NEG_INFINITY, |age| self.now - age);
+            return request.session_token_age.map_or(LogPosition::from_secs(f64::NEG_INFINITY), |age| {
+                // Carried tokens are dated by the pooler's clock.
+                (self.now - age).to_cluster(Span::ZERO)
+            });
         }
         // A write of the session that is in flight may have been executed already.
         let mut same_session = self.requests.iter().filter(|(_, other)| other.session == request.session);
@@ -24,8 +28,7 @@
             return self.present_for_reads(self.now);
         }
         let remembered = self.sessions.last_commit(request.session.as_ref());
-        let unknown = Some(self.unknown_writes_until).filter(|until| until.is_finite());
-        unknown.map_or(remembered, |until| remembered.max(self.present_for_reads(until)))
+        self.unknown_writes_until.map_or(remembered, |until| remembered.max(self.present_for_reads(until)))
     }
 
     /// Remembers the commit of a write. One whose commit is unknown was committed before now at the latest.
@@ -34,14 +37,14 @@
         let Some(request) = self.requests.get(key).filter(is_remembered) else { return };
         let is_write = self.class(request.class).is_write() && !result.outcome.proves_not_executed();
         let Some(session) = request.session.clone().filter(|_| is_write) else { return };
-        let is_credible = |position: &f64| self.clock.is_credible(*position, self.now);
+        let is_credible = |position: &LogPosition| self.clock.is_credible(*position, self.now);
         let told = result.log_position.filter(|_| result.outcome == Outcome::Success).filter(is_credible);
         let commit = told.unwrap_or_else(|| self.present_for_reads(self.now));
-        if commit.is_finite() {
+        if commit.as_secs().is_finite() {
             self.sessions.remember(session, commit);
         } else {
             // The hosts' clock is not known yet.
-            self.unknown_writes_until = self.now;
+            self.unknown_writes_until = Some(self.now);
         }
         self.sessions.forget(MAX_SESSION_WRITES, self.clock.likely(self.now) - MAX_SESSION_AGE);
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -2,6 +2,7 @@
 
 use super::Policy;
 use crate::state::{EndpointKey, Group, PendingRequest, SlowStartBudget};
+use crate::time::Span;
 
 /// Upper limit of the share of reads for an endpoint that is warming up, in multiples of its capacity ...
 const MAX_READ_SHARE: f64 = 1.0;
@@ -16,7 +17,7 @@
 /// What an endpoint may get at once, as a share of what it may get while it withstands an overload.
 const BURST_SHARE: f64 = 0.1;
 /// Time over which the usual rate of requests is taken (seconds): far longer than a burst.
-const USUAL_RATE_TIME: f64 = 60.0;
+const USUAL_RATE_TIME: Span = Span::from_secs(60.0);
 /// A burst counts towards the usual rate by this multiple of what is usual, so that traffic which has grown
 /// for good becomes usual in some minutes.
 const USUAL_RATE_GROWTH: f64 = 1.1;
@@ -50,9 +51,11 @@
     fn slow_start_budget(&self, endpoint: EndpointKey) -> SlowStartBudget {
         let state = &self.endpoints[endpoint];
         let usual_rate = self.usual_endpoint_rate(state.group);
-        let limit = self.settings.overload_limit.min(MAX_OVERLOAD_LIMIT) * BUDGET_SHARE_OF_LIMIT;
+        let limit =
+            self.settings.overload_limit.map_or(MAX_OVERLOAD_LIMIT, |limit| limit.min(MAX_OVERLOAD_LIMIT))
+                * BUDGET_SHARE_OF_LIMIT;
         let per_second = limit * self.capacity(endpoint) * usual_rate;
-        let most = 1.0 + per_second * self.settings.overload_window * BURST_SHARE;
+        let most = 1.0 + per_second * self.settings.overload_window.as_secs() * BURST_SHARE;
         let mut budget = state.slow_start;
         budget.earn(per_second, most, self.now);
         budget
@@ -83,13 +86,15 @@
 
     /// The same for a request that needs the primary.
     pub(super) fn slow_start_admits_to_primary(&self, request: &PendingRequest, to: EndpointKey) -> bool {
-        self.slow_start_admits(request, to, self.settings.overload_limit * PRIMARY_SHARE_OF_LIMIT)
+        let limit = self.settings.overload_limit.unwrap_or(f64::INFINITY);
+        self.slow_start_admits(request, to, limit * PRIMARY_SHARE_OF_LIMIT)
     }
 
     /// Share of a group's reads, in multiples of an endpoint's capacity: its limit over the group's capacity.
     pub(super) fn read_slow_start_share(&self, group: &Group) -> f64 {
         let reads = self.group_capacity(group).max(1.0) * self.read_share;
-        (self.settings.overload_limit * READ_SHARE_OF_LIMIT / reads).min(MAX_READ_SHARE)
+        (self.settings.overload_limit.unwrap_or(f64::INFINITY) * READ_SHARE_OF_LIMIT / reads)
+            .min(MAX_READ_SHARE)
     }
 
     fn group_capacity(&self, group: &Group) -> f64 {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,11 @@
-//! The settings that a [`Policy`](crate::Policy) is created with. All times are in seconds.
+//! The settings that a [`Policy`](crate::Policy) is created with.
 
 mod validation;
 
-pub(crate) use validation::validate;
 pub use validation::SettingsError;
+pub(crate) use validation::{require_non_negative, validate};
+
+use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
 
 /// What happens when a request is executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -35,8 +37,8 @@
     Strong,
     /// The read must see its session's own writes.
     Session,
-    /// The data may be at most this many seconds old when the request is sent.
-    BoundedStaleness(f64),
+    /// The data may be at most this old when the request is sent.
+    BoundedStaleness(Span),
     /// Any endpoint may answer.
     Eventual,
 }
@@ -45,13 +47,13 @@
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// An answer within this time earns the full weight.
-    pub latency_objective: f64,
+    pub latency_objective: Span,
     /// The latency objective grows by this multiple of the request's predicted work.
     pub latency_objective_factor: f64,
     /// How long a client waits in all.
-    pub deadline: f64,
+    pub deadline: Span,
     /// How long repeats with the same idempotency key are dropped.
-    pub deduplication_window: f64,
+    pub deduplication_window: Span,
     /// What a repeated execution can do.
     pub idempotency: Idempotency,
     /// Where repeats are dropped.
@@ -71,7 +73,7 @@
     }
 
     /// How old the data may be, where its reads are bounded.
-    pub fn staleness_bound(&self) -> Option<f64> {
+    pub fn staleness_bound(&self) -> Option<Span> {
         match self.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
             _ => None,
@@ -79,11 +81,11 @@
     }
 
     /// Until when a request may be repeated that was first sent at this time and may have been executed.
-    pub fn repeatable_until(&self, sent_at: f64) -> f64 {
+    pub fn repeatable_until(&self, sent_at: LocalInstant) -> LocalInstant {
         match self.idempotency {
-            Idempotency::Idempotent => f64::INFINITY,
+            Idempotency::Idempotent => LocalInstant::from_secs(f64::INFINITY),
             Idempotency::IdempotencyKey => sent_at + self.deduplication_window,
-            Idempotency::NonIdempotent => f64::NEG_INFINITY,
+            Idempotency::NonIdempotent => LocalInstant::from_secs(f64::NEG_INFINITY),
         }
     }
 
@@ -104,12 +106,12 @@
 
 impl Consistency {
     /// The log position that a request sent now has to see; `session_token` is its session's last write.
-    pub fn required_position(self, now: f64, session_token: f64) -> f64 {
+    pub fn required_position(self, now: ClusterInstant, session_token: LogPosition) -> LogPosition {
         match self {
             Consistency::BoundedStaleness(bound) => now - bound,
-            Consistency::Eventual => f64::NEG_INFINITY,
+            Consistency::Eventual => LogPosition::from_secs(f64::NEG_INFINITY),
             Consistency::Session => session_token,
-            Consistency::Write | Consistency::Strong => f64::INFINITY,
+            Consistency::Write | Consistency::Strong => LogPosition::from_secs(f64::INFINITY),
         }
     }
 }
@@ -117,10 +119,10 @@
 impl Default for RequestClass {
     fn default() -> Self {
         RequestClass {
-            latency_objective: 0.5,
+            latency_objective: Span::from_secs(0.5),
             latency_objective_factor: 0.0,
-            deadline: 1.0,
-            deduplication_window: 0.0,
+            deadline: Span::from_secs(1.0),
+            deduplication_window: Span::ZERO,
             idempotency: Idempotency::Idempotent,
             deduplication_scope: DeduplicationScope::Group,
             late_weight: 0.0,
@@ -135,10 +137,8 @@
 pub enum StaleReadHandling {
     /// It answers from what it has.
     Serve,
-    /// It rejects the read without executing it.
+    /// It rejects the read without executing it, at once or after it has waited to catch up.
     Reject,
-    /// It waits up to this many seconds to catch up, then rejects the read.
-    WaitThenReject(f64),
 }
 
 impl StaleReadHandling {
@@ -153,8 +153,8 @@
 pub struct Settings {
     /// Request classes, by number.
     pub classes: Vec<RequestClass>,
-    /// Requests per second within each tenant's quota, over all poolers; empty without tenants.
-    pub tenant_quota: Vec<f64>,
+    /// Requests per second within each tenant's quota, over all poolers; `None` for a tenant without a limit.
+    pub tenant_quota: Vec<Option<f64>>,
     /// Weight of a request beyond its tenant's quota, relative to one within it.
     pub over_quota_weight: f64,
     /// How many poolers share the endpoints.
@@ -164,7 +164,7 @@
     /// Whether the pooler reads the same clock as the endpoints. A machine's own clock may be wrong.
     pub shares_host_clock: bool,
     /// Shortest time between two batches of events.
-    pub tick: f64,
+    pub tick: Span,
     /// Whether health checks are allowed and their reports tell a log position or a role.
     pub health_checks: bool,
     /// Whether attempts may be cancelled.
@@ -176,22 +176,22 @@
     /// Whether rejections may carry a Retry-After.
     pub send_retry_after: bool,
     /// Longest Retry-After that a client honours.
-    pub max_retry_after: f64,
+    pub max_retry_after: Span,
     /// A connection that is not established within this time fails.
-    pub connect_timeout: f64,
+    pub connect_timeout: Span,
     /// Whether the endpoint list has to be watched, rather than being pushed unasked.
     pub watch_endpoints: bool,
     /// Longest time that may pass without a watch or a call for the endpoint list.
-    pub max_watch_gap: f64,
+    pub max_watch_gap: Span,
     /// A starting endpoint has at least this share of its capacity.
     pub initial_capacity: f64,
     /// A starting endpoint has its full capacity after this time.
-    pub slow_start_window: f64,
-    /// An endpoint in slow start collapses if its load exceeds this multiple of its present capacity for the
-    /// whole of [`overload_window`](Self::overload_window).
-    pub overload_limit: f64,
+    pub slow_start_window: Span,
+    /// An endpoint in slow start collapses if its load exceeds this multiple of its present capacity throughout
+    /// [`overload_window`](Self::overload_window); `None` if it withstands any load.
+    pub overload_limit: Option<f64>,
     /// How long an endpoint in slow start withstands a load above [`overload_limit`](Self::overload_limit).
-    pub overload_window: f64,
+    pub overload_window: Span,
     /// Only an announced drain is binding; an endpoint that merely disappeared may still be used.
     pub removal_is_advisory: bool,
     /// What endpoints do with reads for which their data is too old.
@@ -210,13 +210,13 @@
         }
     }
 
-    /// The longest deadline of any class (seconds).
-    pub fn longest_deadline(&self) -> f64 {
-        self.classes.iter().map(|class| class.deadline).fold(0.0, f64::max)
+    /// The longest deadline of any class.
+    pub fn longest_deadline(&self) -> Span {
+        self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
     /// Capacity of an endpoint so long after its start, as a share of its full one.
-    pub fn capacity_after(&self, time: f64) -> f64 {
+    pub fn capacity_after(&self, time: Span) -> f64 {
         if time >= self.slow_start_window {
             return 1.0;
         }
@@ -234,20 +234,20 @@
             pooler_count: 1,
             zone: 0,
             shares_host_clock: true,
-            tick: 0.005,
+            tick: Span::from_secs(0.005),
             health_checks: false,
             cancellation: true,
             hedging: false,
             max_attempts: 6,
             send_retry_after: true,
-            max_retry_after: 1.0,
-            connect_timeout: 0.25,
+            max_retry_after: Span::from_secs(1.0),
+            connect_timeout: Span::from_secs(0.25),
             watch_endpoints: false,
-            max_watch_gap: 10.0,
+            max_watch_gap: Span::from_secs(10.0),
             initial_capacity: 0.2,
-            slow_start_window: 15.0,
-            overload_limit: 3.0,
-            overload_window: 2.0,
+            slow_start_window: Span::from_secs(15.0),
+            overload_limit: Some(3.0),
+            overload_window: Span::from_secs(2.0),
             removal_is_advisory: false,
             stale_reads: StaleReadHandling::Reject,
             session_tokens_carried: true,
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,6 +1,7 @@
 //! Validation: rejects settings that are out of range before a policy uses them.
 
-use super::{Consistency, RequestClass, Settings, StaleReadHandling};
+use super::{Consistency, RequestClass, Settings};
+use crate::time::Span;
 
 /// A setting that is out of its range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -16,14 +17,18 @@
 const NON_NEGATIVE: &str = "finite and not negative";
 const SHARE: &str = "from 0 to 1";
 
-fn is_positive_time(time: f64) -> bool {
-    time.is_finite() && time > 0.0
+fn is_positive_time(time: Span) -> bool {
+    time.as_secs().is_finite() && time.as_secs() > 0.0
 }
 
 fn is_non_negative(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
 
+fn is_non_negative_time(time: Span) -> bool {
+    is_non_negative(time.as_secs())
+}
+
 fn is_share(share: f64) -> bool {
     (0.0..=1.0).contains(&share)
 }
@@ -32,7 +37,11 @@
 pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     validate_general(settings)?;
     for (index, quota) in settings.tenant_quota.iter().enumerate() {
-        require(*quota >= 0.0, || format!("customers[{index}].quotaPerS"), "not negative")?;
+        require(
+            quota.is_none_or(|quota| quota >= 0.0),
+            || format!("customers[{index}].quotaPerS"),
+            "not negative",
+        )?;
     }
     for (index, class) in settings.classes.iter().enumerate() {
         validate_class(index, class)?;
@@ -42,10 +51,6 @@
 
 fn validate_general(settings: &Settings) -> Result<(), SettingsError> {
     let s = settings;
-    let stale_reads_in_range = match s.stale_reads {
-        StaleReadHandling::WaitThenReject(wait) => is_non_negative(wait),
-        StaleReadHandling::Reject | StaleReadHandling::Serve => true,
-    };
     let initial_capacity_in_range = s.initial_capacity > 0.0 && is_share(s.initial_capacity);
     for (in_range, field, must) in [
         (!s.classes.is_empty(), "classes", "at least one class"),
@@ -55,12 +60,11 @@
         (is_positive_time(s.connect_timeout), "limits.connectTimeout", POSITIVE_TIME),
         (is_positive_time(s.max_watch_gap), "invariants.askWithin", POSITIVE_TIME),
         (is_positive_time(s.overload_window), "invariants.fall", POSITIVE_TIME),
-        (is_non_negative(s.slow_start_window), "invariants.warmUp", NON_NEGATIVE),
-        (is_non_negative(s.max_retry_after), "limits.maxRetryAfter", NON_NEGATIVE),
+        (is_non_negative_time(s.slow_start_window), "invariants.warmUp", NON_NEGATIVE),
+        (is_non_negative_time(s.max_retry_after), "limits.maxRetryAfter", NON_NEGATIVE),
         (initial_capacity_in_range, "invariants.coldFrom", "above 0 and at most 1"),
-        (s.overload_limit > 0.0, "invariants.tipMultiple", "above 0"),
+        (s.overload_limit.is_none_or(|limit| limit > 0.0), "invariants.tipMultiple", "above 0"),
         (is_share(s.over_quota_weight), "overShareWorth", SHARE),
-        (stale_reads_in_range, "specifics.wait", NON_NEGATIVE),
     ] {
         require(in_range, || field.to_string(), must)?;
     }
@@ -69,14 +73,14 @@
 
 fn validate_class(index: usize, class: &RequestClass) -> Result<(), SettingsError> {
     let staleness_in_range = match class.consistency {
-        Consistency::BoundedStaleness(bound) => is_non_negative(bound),
+        Consistency::BoundedStaleness(bound) => is_non_negative_time(bound),
         Consistency::Write | Consistency::Strong | Consistency::Session | Consistency::Eventual => true,
     };
     for (in_range, field, must) in [
         (is_positive_time(class.latency_objective), "aim", POSITIVE_TIME),
         (is_positive_time(class.deadline), "deadline", POSITIVE_TIME),
         (is_non_negative(class.latency_objective_factor), "aimStretch", NON_NEGATIVE),
-        (is_non_negative(class.deduplication_window), "dedupWindow", NON_NEGATIVE),
+        (is_non_negative_time(class.deduplication_window), "dedupWindow", NON_NEGATIVE),
         (is_share(class.late_weight), "lateWorth", SHARE),
         (is_non_negative(class.priority_weight), "value", NON_NEGATIVE),
     ] {
@@ -85,6 +89,11 @@
     require(staleness_in_range, || format!("specifics.stalenessBound[{index}]"), NON_NEGATIVE)
 }
 
+/// Checks a number that no rule reads, but that has a range all the same.
+pub(crate) fn require_non_negative(number: f64, field: &str) -> Result<(), SettingsError> {
+    require(is_non_negative(number), || field.to_string(), NON_NEGATIVE)
+}
+
 fn require(in_range: bool, field: impl FnOnce() -> String, must: &'static str) -> Result<(), SettingsError> {
     if in_range {
         return Ok(());
--- a/src/state/cluster_clock.rs
+++ b/src/state/cluster_clock.rs
@@ -1,17 +1,19 @@
 //! What is known of the database hosts' clock.
 
-/// A bound on an offset, and when it was found (seconds on the pooler's clock).
+use crate::time::{LocalInstant, Span};
+
+/// A bound on an offset, and when it was found.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OffsetBound {
-    pub offset: f64,
-    pub found_at: f64,
+    pub offset: Span,
+    pub found_at: LocalInstant,
 }
 
 /// What the answer of a primary shows of an offset: it lies between these.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OffsetInterval {
-    pub min: f64,
-    pub max: f64,
+    pub min: Span,
+    pub max: Span,
 }
 
 impl OffsetInterval {
--- a/src/state/endpoint_table.rs
+++ b/src/state/endpoint_table.rs
@@ -5,6 +5,7 @@
 
 use super::{EndpointState, Group, RequestKey, RequestTable};
 use crate::interface::{Endpoint, EndpointId, EndpointStatus, UpdateKind};
+use crate::time::LocalInstant;
 
 /// The place of an endpoint in the [`EndpointTable`]. Places of forgotten endpoints are used again.
 pub(crate) type EndpointKey = usize;
@@ -54,7 +55,7 @@
     }
 
     /// Applies an update of the endpoint list. What a whole list does not name is removed.
-    pub fn apply(&mut self, kind: UpdateKind, entries: &[Endpoint], now: f64) {
+    pub fn apply(&mut self, kind: UpdateKind, entries: &[Endpoint], now: LocalInstant) {
         let is_whole_list = kind != UpdateKind::Delta;
         let mut listed = vec![!is_whole_list; self.slots.len()];
         for entry in entries {
@@ -99,7 +100,7 @@
     }
 
     /// Forgets those endpoints of a group that were removed, and neither listed nor used since this time.
-    pub fn forget_removed(&mut self, group: u32, horizon: f64) {
+    pub fn forget_removed(&mut self, group: u32, horizon: LocalInstant) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         let (slots, free, by_id) = (&self.slots, &mut self.free, &mut self.by_id);
         group.endpoints.retain(|&endpoint| {
--- a/src/state/group.rs
+++ b/src/state/group.rs
@@ -3,6 +3,7 @@
 use std::collections::VecDeque;
 
 use super::{EndpointKey, EventRate, RequestKey};
+use crate::time::LocalInstant;
 
 /// One primary and its replicas.
 #[derive(Default)]
@@ -12,13 +13,13 @@
     /// Requests that wait for the primary, in the order of their arrival.
     pub queued: VecDeque<RequestKey>,
     /// Since when there has been no healthy primary.
-    pub searching_since: Option<f64>,
+    pub searching_since: Option<LocalInstant>,
     /// When the next step of the search for a primary is due.
-    pub next_search_at: f64,
+    pub next_search_at: LocalInstant,
     /// The write that was last sent in search of a primary.
     pub discovery_write: Option<RequestKey>,
     /// When the last request for this group was received.
-    pub last_request_at: f64,
+    pub last_request_at: LocalInstant,
     /// How often requests for this group are received at present, and as a rule.
     pub present_rate: EventRate,
     pub usual_rate: EventRate,
@@ -26,7 +27,7 @@
 
 impl Group {
     /// Takes an endpoint as the primary; unless that is ready, the search for one goes on or begins now.
-    pub fn set_primary(&mut self, primary: Option<EndpointKey>, is_ready: bool, now: f64) {
+    pub fn set_primary(&mut self, primary: Option<EndpointKey>, is_ready: bool, now: LocalInstant) {
         self.primary = primary;
         if is_ready {
             self.searching_since = None;
--- a/src/state/policy.rs
+++ b/src/state/policy.rs
@@ -6,17 +6,18 @@
 };
 use crate::interface::Action;
 use crate::settings::{RequestClass, Settings};
+use crate::time::{LocalInstant, Span};
 
 /// Decides where each request of one pooler goes.
 pub struct Policy {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) now: f64,
+    pub(crate) now: LocalInstant,
     /// The clock by which log positions and start times are given.
     pub(crate) clock: ClusterClock,
     /// What is to be done about the present event.
     pub(crate) actions: Vec<Action>,
-    pub(crate) housekeeping_interval: f64,
+    pub(crate) housekeeping_interval: Span,
     pub(crate) housekeeping_scheduled: bool,
     pub(crate) endpoints: EndpointTable,
     pub(crate) requests: RequestTable,
@@ -25,18 +26,18 @@
     /// Running share of the requests that a replica may answer.
     pub(crate) read_share: f64,
     /// The shortest staleness bound of any class.
-    pub(crate) shortest_staleness: f64,
+    pub(crate) shortest_staleness: Span,
     pub(crate) sessions: SessionTable,
     /// Any session may have written until then, although no write of it is remembered.
-    pub(crate) unknown_writes_until: f64,
+    pub(crate) unknown_writes_until: Option<LocalInstant>,
     pub(crate) watch: Watch,
     pub(crate) retry_budget: TokenBucket,
     pub(crate) health_check_budget: TokenBucket,
-    pub(crate) tenant_quotas: Vec<TokenBucket>,
+    pub(crate) tenant_quotas: Vec<Option<TokenBucket>>,
     /// Load shedding is not logged again before then.
-    pub(crate) shedding_until: f64,
+    pub(crate) shedding_until: Option<LocalInstant>,
     /// Until then endpoints are taken to have no room for idle connections.
-    pub(crate) connections_scarce_until: f64,
+    pub(crate) connections_scarce_until: Option<LocalInstant>,
 }
 
 impl Policy {
@@ -44,26 +45,26 @@
     pub(crate) fn empty(settings: Settings, rng: fastrand::Rng) -> Policy {
         let staleness_bounds = settings.classes.iter().filter_map(RequestClass::staleness_bound);
         Policy {
-            shortest_staleness: staleness_bounds.fold(1.0, f64::min),
+            shortest_staleness: staleness_bounds.fold(Span::from_secs(1.0), Span::min),
             clock: ClusterClock::new(settings.shares_host_clock),
             settings,
             rng,
-            now: 0.0,
+            now: LocalInstant::EPOCH,
             actions: Vec::new(),
-            housekeeping_interval: 0.0,
+            housekeeping_interval: Span::ZERO,
             housekeeping_scheduled: false,
             endpoints: EndpointTable::default(),
             requests: RequestTable::default(),
             latency: Vec::new(),
             read_share: 1.0,
             sessions: SessionTable::default(),
-            unknown_writes_until: f64::NEG_INFINITY,
+            unknown_writes_until: None,
             watch: Watch::default(),
             retry_budget: TokenBucket::default(),
             health_check_budget: TokenBucket::default(),
             tenant_quotas: Vec::new(),
-            shedding_until: f64::NEG_INFINITY,
-            connections_scarce_until: f64::NEG_INFINITY,
+            shedding_until: None,
+            connections_scarce_until: None,
         }
     }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -4,12 +4,13 @@
 
 use super::EndpointKey;
 use crate::interface::{Outcome, Request, RequestId};
+use crate::time::{LocalInstant, LogPosition};
 
 /// One attempt of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub endpoint: EndpointKey,
-    pub sent_at: f64,
+    pub sent_at: LocalInstant,
     pub in_flight: bool,
     /// It was withdrawn; its end may still be due.
     pub cancelled: bool,
@@ -23,7 +24,7 @@
 
 impl Attempt {
     /// An attempt that has just been sent.
-    pub fn new(endpoint: EndpointKey, sent_at: f64) -> Attempt {
+    pub fn new(endpoint: EndpointKey, sent_at: LocalInstant) -> Attempt {
         Attempt {
             endpoint,
             sent_at,
@@ -43,12 +44,12 @@
     pub class: usize,
     pub group: u32,
     /// When its latency objective is over.
-    pub objective_at: f64,
-    pub deadline: f64,
+    pub objective_at: LocalInstant,
+    pub deadline: LocalInstant,
     /// Until then it may wait without having reached any endpoint.
-    pub queue_until: f64,
+    pub queue_until: LocalInstant,
     /// Log position that a session read has to see.
-    pub session_token: f64,
+    pub session_token: LogPosition,
     pub over_quota: bool,
     pub session: Option<Arc<str>>,
     /// Drawn once from 0 to 1: decides where only a share of all requests may go.
@@ -67,10 +68,10 @@
             id: request.id,
             class: request.class,
             group: request.group,
-            objective_at: 0.0,
-            deadline: 0.0,
-            queue_until: 0.0,
-            session_token: f64::NEG_INFINITY,
+            objective_at: LocalInstant::EPOCH,
+            deadline: LocalInstant::EPOCH,
+            queue_until: LocalInstant::EPOCH,
+            session_token: LogPosition::from_secs(f64::NEG_INFINITY),
             over_quota: false,
             session: request.session,
             sampling_draw: 0.0,
@@ -110,7 +111,7 @@
     }
 
     /// Until when an answer is useful: the deadline, or the latency objective if late answers earn nothing.
-    pub fn useful_until(&self, earns_late: bool) -> f64 {
+    pub fn useful_until(&self, earns_late: bool) -> LocalInstant {
         if earns_late {
             self.deadline
         } else {
@@ -119,8 +120,8 @@
     }
 
     /// When the first attempt was sent that may have been executed, or is in flight and may yet be.
-    pub fn may_have_run_since(&self) -> Option<f64> {
+    pub fn may_have_run_since(&self) -> Option<LocalInstant> {
         let risky = self.attempts.iter().filter(|attempt| attempt.in_flight || attempt.may_have_run);
-        risky.map(|attempt| attempt.sent_at).reduce(f64::min)
+        risky.map(|attempt| attempt.sent_at).min()
     }
 }
--- a/src/state/tests/cluster_clock.rs
+++ b/src/state/tests/cluster_clock.rs
@@ -3,6 +3,7 @@
 use rstest::rstest;
 
 use crate::state::ClusterClock;
+use crate::time::tests::{at, cluster, secs};
 
 /// Seconds that an answer takes.
 const ROUND_TRIP: f64 = 0.02;
@@ -11,24 +12,31 @@
 
 /// A primary whose clock is ahead by `offset` answers a request that was sent at `sent_at`.
 fn primary_answers(clock: &mut ClusterClock, offset: f64, sent_at: f64) {
-    clock.observe_present_time(sent_at + ROUND_TRIP / 2.0 + offset, sent_at, sent_at + ROUND_TRIP);
+    clock.observe_present_time(
+        cluster(sent_at + ROUND_TRIP / 2.0 + offset),
+        at(sent_at),
+        at(sent_at + ROUND_TRIP),
+    );
 }
 
 #[test]
 fn a_shared_clock_tells_the_same_time_whatever_is_observed() {
     let mut clock = ClusterClock::new(true);
     primary_answers(&mut clock, 5.0, 100.0);
-    clock.observe_past_time(200.0, 100.0);
-    assert_eq!((clock.earliest(101.0), clock.likely(101.0), clock.latest(101.0)), (101.0, 101.0, 101.0));
-    assert!(clock.is_credible(101.0005, 101.0) && !clock.is_credible(101.1, 101.0));
+    clock.observe_past_time(cluster(200.0), at(100.0));
+    assert_eq!(
+        (clock.earliest(at(101.0)), clock.likely(at(101.0)), clock.latest(at(101.0))),
+        (cluster(101.0), cluster(101.0), cluster(101.0))
+    );
+    assert!(clock.is_credible(cluster(101.0005), at(101.0)) && !clock.is_credible(cluster(101.1), at(101.0)));
 }
 
 #[test]
 fn before_any_answer_the_present_is_the_poolers_without_bounds() {
     let clock = ClusterClock::new(false);
-    let expected = (f64::NEG_INFINITY, 100.0, f64::INFINITY);
-    assert_eq!((clock.earliest(100.0), clock.likely(100.0), clock.latest(100.0)), expected);
-    assert!(!clock.is_credible(105.0, 100.0));
+    let expected = (cluster(f64::NEG_INFINITY), cluster(100.0), cluster(f64::INFINITY));
+    assert_eq!((clock.earliest(at(100.0)), clock.likely(at(100.0)), clock.latest(at(100.0))), expected);
+    assert!(!clock.is_credible(cluster(105.0), at(100.0)));
 }
 
 #[rstest]
@@ -38,10 +46,13 @@
         primary_answers(&mut clock, offset, sent_at);
     }
     let present = 102.0 + offset;
-    assert!(clock.earliest(102.0) <= present && present <= clock.latest(102.0));
-    assert!(clock.latest(102.0) - clock.earliest(102.0) <= ROUND_TRIP + ROUNDING_AND_DRIFT);
-    assert!((clock.likely(102.0) - present).abs() <= ROUND_TRIP);
-    assert!(clock.is_credible(present, 102.0) && !clock.is_credible(present + 0.1, 102.0));
+    assert!(clock.earliest(at(102.0)) <= cluster(present) && cluster(present) <= clock.latest(at(102.0)));
+    assert!(clock.latest(at(102.0)) - clock.earliest(at(102.0)) <= secs(ROUND_TRIP + ROUNDING_AND_DRIFT));
+    assert!((clock.likely(at(102.0)) - cluster(present)).abs() <= secs(ROUND_TRIP));
+    assert!(
+        clock.is_credible(cluster(present), at(102.0))
+            && !clock.is_credible(cluster(present + 0.1), at(102.0))
+    );
 }
 
 /// A position that cannot be right must not be taken for the present.
@@ -50,32 +61,35 @@
     let mut clock = ClusterClock::new(false);
     primary_answers(&mut clock, 0.0, 100.0);
     primary_answers(&mut clock, 1e9, 101.0);
-    assert!((clock.likely(101.0) - 101.0).abs() < 0.1);
+    assert!((clock.likely(at(101.0)) - cluster(101.0)).abs() < secs(0.1));
     primary_answers(&mut clock, -50.0, 102.0);
-    assert!((clock.likely(102.0) - 102.0).abs() < 0.1, "the two contradict each other");
+    assert!((clock.likely(at(102.0)) - cluster(102.0)).abs() < secs(0.1), "the two contradict each other");
     primary_answers(&mut clock, 0.0, 103.0);
     primary_answers(&mut clock, -50.0, 104.0);
-    assert!((clock.likely(104.0) - 104.0).abs() < 0.1, "an answer in between confirmed the bounds");
+    assert!(
+        (clock.likely(at(104.0)) - cluster(104.0)).abs() < secs(0.1),
+        "an answer in between confirmed the bounds"
+    );
     primary_answers(&mut clock, -50.0, 105.0);
-    assert!((clock.likely(105.0) - 55.0).abs() < 0.1, "the clock was stepped");
+    assert!((clock.likely(at(105.0)) - cluster(55.0)).abs() < secs(0.1), "the clock was stepped");
 }
 
 #[test]
 fn a_replica_bounds_the_present_from_below_only() {
     let mut clock = ClusterClock::new(false);
-    clock.observe_past_time(99.0, 100.0);
-    clock.observe_past_time(90.0, 101.0);
-    let earliest = clock.earliest(101.0);
-    assert!((99.9..=100.0).contains(&earliest), "{earliest}");
-    assert_eq!((clock.likely(101.0), clock.latest(101.0)), (101.0, f64::INFINITY));
-    clock.observe_past_time(1e9, 102.0);
-    assert!(clock.earliest(102.0) <= 102.0, "a time in the future is not believed of a replica");
+    clock.observe_past_time(cluster(99.0), at(100.0));
+    clock.observe_past_time(cluster(90.0), at(101.0));
+    let earliest = clock.earliest(at(101.0));
+    assert!((cluster(99.9)..=cluster(100.0)).contains(&earliest), "{earliest:?}");
+    assert_eq!((clock.likely(at(101.0)), clock.latest(at(101.0))), (cluster(101.0), cluster(f64::INFINITY)));
+    clock.observe_past_time(cluster(1e9), at(102.0));
+    assert!(clock.earliest(at(102.0)) <= cluster(102.0), "a time in the future is not believed of a replica");
 }
 
 #[test]
 fn the_bounds_widen_with_time() {
     let mut clock = ClusterClock::new(false);
     primary_answers(&mut clock, 0.0, 100.0);
-    let width = |now: f64| clock.latest(now) - clock.earliest(now);
+    let width = |now: f64| clock.latest(at(now)) - clock.earliest(at(now));
     assert!(width(100_000.0) > width(200.0) && width(200.0) > width(101.0));
 }
--- a/src/state/tests/endpoint_table.rs
+++ b/src/state/tests/endpoint_table.rs
@@ -2,6 +2,7 @@
 
 use crate::interface::{Endpoint, EndpointId, EndpointStatus, UpdateKind};
 use crate::state::EndpointTable;
+use crate::time::tests::at;
 
 fn entry(id: &str, group: u32, status: EndpointStatus) -> Endpoint {
     Endpoint { id: id.into(), group, status, ..Endpoint::default() }
@@ -18,10 +19,10 @@
 #[test]
 fn a_snapshot_removes_what_it_does_not_name_and_a_delta_does_not() {
     let mut table = EndpointTable::default();
-    table.apply(UpdateKind::Snapshot, &[serving("a", 0), serving("b", 0)], 1.0);
-    table.apply(UpdateKind::Delta, &[serving("c", 0)], 2.0);
+    table.apply(UpdateKind::Snapshot, &[serving("a", 0), serving("b", 0)], at(1.0));
+    table.apply(UpdateKind::Delta, &[serving("c", 0)], at(2.0));
     assert_eq!(status(&table, "a"), Some(EndpointStatus::Serving));
-    table.apply(UpdateKind::Snapshot, &[serving("b", 0)], 3.0);
+    table.apply(UpdateKind::Snapshot, &[serving("b", 0)], at(3.0));
     assert_eq!(status(&table, "a"), Some(EndpointStatus::Removed));
     assert_eq!(status(&table, "b"), Some(EndpointStatus::Serving));
     assert_eq!(status(&table, "c"), Some(EndpointStatus::Removed));
@@ -30,15 +31,15 @@
 #[test]
 fn an_unknown_endpoint_that_is_removed_is_not_added() {
     let mut table = EndpointTable::default();
-    table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], 1.0);
+    table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], at(1.0));
     assert_eq!((status(&table, "a"), table.slots()), (None, 0));
 }
 
 #[test]
 fn an_endpoint_belongs_to_one_group() {
     let mut table = EndpointTable::default();
-    table.apply(UpdateKind::Delta, &[serving("a", 1)], 1.0);
-    table.apply(UpdateKind::Delta, &[serving("a", 2)], 2.0);
+    table.apply(UpdateKind::Delta, &[serving("a", 1)], at(1.0));
+    table.apply(UpdateKind::Delta, &[serving("a", 2)], at(2.0));
     let sizes: Vec<usize> = table.groups.values().map(|group| group.endpoints.len()).collect();
     assert_eq!((table.group_ids(), sizes), (vec![1, 2], vec![0, 1]));
     table.forget_empty_groups();
@@ -48,12 +49,12 @@
 #[test]
 fn the_slot_of_a_forgotten_endpoint_is_used_again() {
     let mut table = EndpointTable::default();
-    table.apply(UpdateKind::Delta, &[serving("a", 0)], 1.0);
-    table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], 2.0);
-    table.forget_removed(0, 1.0);
+    table.apply(UpdateKind::Delta, &[serving("a", 0)], at(1.0));
+    table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], at(2.0));
+    table.forget_removed(0, at(1.0));
     assert_eq!(status(&table, "a"), Some(EndpointStatus::Removed), "it was listed until then");
-    table.forget_removed(0, 1.5);
+    table.forget_removed(0, at(1.5));
     assert_eq!(status(&table, "a"), None);
-    table.apply(UpdateKind::Delta, &[serving("b", 0)], 3.0);
+    table.apply(UpdateKind::Delta, &[serving("b", 0)], at(3.0));
     assert_eq!((status(&table, "b"), table.slots()), (Some(EndpointStatus::Serving), 1));
 }
--- a/src/state/tests/outlier_detector.rs
+++ b/src/state/tests/outlier_detector.rs
@@ -3,24 +3,26 @@
 use fastrand::Rng;
 
 use crate::state::OutlierDetector;
+use crate::time::tests::{at, secs};
+use crate::time::{LocalInstant, Span};
 
-/// The connect timeout of these tests (seconds).
-const UNIT: f64 = 0.25;
+/// The connect timeout of these tests.
+const CONNECT_TIMEOUT: Span = secs(0.25);
 /// Weight of a plain failure: two of them eject.
 const FAILURE: f64 = 1.0;
 /// Weight of a failure that ejects at once.
 const EJECTING_FAILURE: f64 = 2.0;
 
-fn eject(detector: &mut OutlierDetector, now: f64) -> f64 {
-    detector.record_failure(EJECTING_FAILURE, now, UNIT, &mut Rng::with_seed(1));
+fn eject(detector: &mut OutlierDetector, now: LocalInstant) -> Span {
+    detector.record_failure(EJECTING_FAILURE, now, CONNECT_TIMEOUT, &mut Rng::with_seed(1));
     detector.ejected_until - now
 }
 
 #[test]
 fn the_second_plain_failure_ejects() {
     let (mut detector, mut rng) = (OutlierDetector::default(), Rng::with_seed(1));
-    assert!(!detector.record_failure(FAILURE, 10.0, UNIT, &mut rng));
-    assert!(detector.record_failure(FAILURE, 10.0, UNIT, &mut rng));
+    assert!(!detector.record_failure(FAILURE, at(10.0), CONNECT_TIMEOUT, &mut rng));
+    assert!(detector.record_failure(FAILURE, at(10.0), CONNECT_TIMEOUT, &mut rng));
     assert!(detector.is_ejected);
 }
 
@@ -28,7 +30,7 @@
 fn failures_that_lie_apart_do_not_add_up() {
     let (mut detector, mut rng) = (OutlierDetector::default(), Rng::with_seed(1));
     for second in 0..50 {
-        assert!(!detector.record_failure(FAILURE, f64::from(second * 10), UNIT, &mut rng));
+        assert!(!detector.record_failure(FAILURE, at(f64::from(second * 10)), CONNECT_TIMEOUT, &mut rng));
     }
     assert!(!detector.is_ejected);
 }
@@ -36,53 +38,58 @@
 #[test]
 fn a_success_halves_the_score() {
     let (mut detector, mut rng) = (OutlierDetector::default(), Rng::with_seed(1));
-    detector.record_failure(FAILURE, 10.0, UNIT, &mut rng);
-    assert!(!detector.record_success(10.0), "it was not ejected");
-    assert!(!detector.record_failure(FAILURE, 10.0, UNIT, &mut rng));
+    detector.record_failure(FAILURE, at(10.0), CONNECT_TIMEOUT, &mut rng);
+    assert!(!detector.record_success(at(10.0)), "it was not ejected");
+    assert!(!detector.record_failure(FAILURE, at(10.0), CONNECT_TIMEOUT, &mut rng));
     assert_eq!(detector.failure_score, 1.5);
 }
 
 #[test]
 fn an_ejected_endpoint_gets_one_trial_request_once_its_time_is_over() {
     let mut detector = OutlierDetector::default();
-    assert!(!detector.is_trial_due(10.0), "it is not ejected");
-    let duration = eject(&mut detector, 10.0);
-    assert!(!detector.is_trial_due(10.0 + duration - 0.01));
-    assert!(detector.is_trial_due(10.0 + duration));
+    assert!(!detector.is_trial_due(at(10.0)), "it is not ejected");
+    let duration = eject(&mut detector, at(10.0));
+    assert!(!detector.is_trial_due(at(10.0) + duration - secs(0.01)));
+    assert!(detector.is_trial_due(at(10.0) + duration));
     detector.trial_in_flight = true;
-    assert!(!detector.is_trial_due(10.0 + duration));
+    assert!(!detector.is_trial_due(at(10.0) + duration));
 }
 
 #[test]
 fn failures_before_the_trial_do_not_prolong_the_ejection() {
     let mut detector = OutlierDetector::default();
-    eject(&mut detector, 10.0);
+    eject(&mut detector, at(10.0));
     let until = detector.ejected_until;
-    assert!(!detector.record_failure(EJECTING_FAILURE, until - 0.01, UNIT, &mut Rng::with_seed(1)));
+    assert!(!detector.record_failure(
+        EJECTING_FAILURE,
+        until - secs(0.01),
+        CONNECT_TIMEOUT,
+        &mut Rng::with_seed(1)
+    ));
     assert_eq!(detector.ejected_until, until);
 }
 
 #[test]
 fn each_failed_trial_doubles_the_time_up_to_a_limit() {
     let mut detector = OutlierDetector::default();
-    let mut now = 10.0;
+    let mut now = at(10.0);
     let mut durations = Vec::new();
     for _ in 0..6 {
         durations.push(eject(&mut detector, now));
         now = detector.ejected_until;
     }
-    let expected = [2.0, 4.0, 8.0, 12.0, 12.0, 12.0].map(|units| units * UNIT);
+    let expected = [2.0, 4.0, 8.0, 12.0, 12.0, 12.0].map(|units| units * CONNECT_TIMEOUT);
     for (duration, expected) in durations.iter().zip(expected) {
-        assert!((0.75..1.25).contains(&(duration / expected)), "{durations:?}");
+        assert!((0.75..1.25).contains(&(*duration / expected)), "{durations:?}");
     }
 }
 
 #[test]
 fn a_relapse_soon_after_the_reinstatement_goes_on_with_the_doubling() {
     let mut detector = OutlierDetector::default();
-    eject(&mut detector, 10.0);
-    assert!(detector.record_success(11.0));
-    assert!(eject(&mut detector, 12.0) > 2.0 * UNIT * 1.25, "four units with jitter");
-    assert!(detector.record_success(20.0));
-    assert!(eject(&mut detector, 60.0) < 2.0 * UNIT * 1.25, "two units with jitter");
+    eject(&mut detector, at(10.0));
+    assert!(detector.record_success(at(11.0)));
+    assert!(eject(&mut detector, at(12.0)) > 2.0 * CONNECT_TIMEOUT * 1.25, "four units with jitter");
+    assert!(detector.record_success(at(20.0)));
+    assert!(eject(&mut detector, at(60.0)) < 2.0 * CONNECT_TIMEOUT * 1.25, "two units with jitter");
 }
--- a/src/state/tests/session_table.rs
+++ b/src/state/tests/session_table.rs
@@ -3,6 +3,7 @@
 use std::sync::Arc;
 
 use crate::state::SessionTable;
+use crate::time::tests::cluster;
 
 fn session(name: &str) -> Arc<str> {
     Arc::from(name)
@@ -11,54 +12,54 @@
 #[test]
 fn a_session_without_a_write_has_seen_nothing() {
     let table = SessionTable::default();
-    assert_eq!(table.last_commit(Some(&session("a"))), f64::NEG_INFINITY);
-    assert_eq!(table.last_commit(None), f64::NEG_INFINITY);
+    assert_eq!(table.last_commit(Some(&session("a"))), cluster(f64::NEG_INFINITY));
+    assert_eq!(table.last_commit(None), cluster(f64::NEG_INFINITY));
 }
 
 #[test]
 fn the_latest_commit_counts_whatever_the_order() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), 2.0);
-    table.remember(session("a"), 1.0);
-    assert_eq!(table.last_commit(Some(&session("a"))), 2.0);
+    table.remember(session("a"), cluster(2.0));
+    table.remember(session("a"), cluster(1.0));
+    assert_eq!(table.last_commit(Some(&session("a"))), cluster(2.0));
 }
 
 #[test]
 fn a_forgotten_session_may_have_written_as_late_as_any_forgotten() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), 1.0);
-    table.remember(session("b"), 2.0);
-    table.remember(session("c"), 3.0);
-    table.forget(1, 0.0);
-    assert_eq!(table.last_commit(Some(&session("c"))), 3.0);
-    assert_eq!(table.last_commit(Some(&session("a"))), 2.0);
-    assert_eq!(table.last_commit(Some(&session("never heard of"))), 2.0);
+    table.remember(session("a"), cluster(1.0));
+    table.remember(session("b"), cluster(2.0));
+    table.remember(session("c"), cluster(3.0));
+    table.forget(1, cluster(0.0));
+    assert_eq!(table.last_commit(Some(&session("c"))), cluster(3.0));
+    assert_eq!(table.last_commit(Some(&session("a"))), cluster(2.0));
+    assert_eq!(table.last_commit(Some(&session("never heard of"))), cluster(2.0));
 }
 
 #[test]
 fn commits_before_the_horizon_are_forgotten() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), 1.0);
-    table.remember(session("b"), 2.0);
-    table.forget(100, 1.5);
-    assert_eq!(table.last_commit(Some(&session("a"))), 1.0, "the floor for unknown sessions");
-    assert_eq!(table.last_commit(Some(&session("b"))), 2.0);
+    table.remember(session("a"), cluster(1.0));
+    table.remember(session("b"), cluster(2.0));
+    table.forget(100, cluster(1.5));
+    assert_eq!(table.last_commit(Some(&session("a"))), cluster(1.0), "the floor for unknown sessions");
+    assert_eq!(table.last_commit(Some(&session("b"))), cluster(2.0));
 }
 
 #[test]
 fn an_old_write_does_not_take_a_newer_one_with_it() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), 1.0);
-    table.remember(session("a"), 2.0);
-    table.forget(1, 0.0);
-    assert_eq!(table.last_commit(Some(&session("a"))), 2.0);
-    assert_eq!(table.last_commit(Some(&session("b"))), f64::NEG_INFINITY);
+    table.remember(session("a"), cluster(1.0));
+    table.remember(session("a"), cluster(2.0));
+    table.forget(1, cluster(0.0));
+    assert_eq!(table.last_commit(Some(&session("a"))), cluster(2.0));
+    assert_eq!(table.last_commit(Some(&session("b"))), cluster(f64::NEG_INFINITY));
 }
 
 #[test]
 fn after_a_restart_any_session_may_have_written() {
     let mut table = SessionTable::default();
-    table.assume_writes_until(5.0);
-    table.assume_writes_until(4.0);
-    assert_eq!(table.last_commit(Some(&session("a"))), 5.0);
+    table.assume_writes_until(cluster(5.0));
+    table.assume_writes_until(cluster(4.0));
+    assert_eq!(table.last_commit(Some(&session("a"))), cluster(5.0));
 }
--- a/src/state/token_bucket.rs
+++ b/src/state/token_bucket.rs
@@ -1,5 +1,7 @@
 //! An allowance that is earned and spent.
 
+use crate::time::{LocalInstant, Span};
+
 /// A bucket of tokens with a capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TokenBucket {
@@ -7,13 +9,13 @@
     capacity: f64,
     /// Tokens earned per second.
     refill_rate: f64,
-    refilled_at: f64,
+    refilled_at: LocalInstant,
 }
 
 impl TokenBucket {
     /// A bucket that holds so many tokens, up to `capacity`.
     pub fn new(tokens: f64, capacity: f64) -> Self {
-        TokenBucket { tokens, capacity, refill_rate: 0.0, refilled_at: 0.0 }
+        TokenBucket { tokens, capacity, refill_rate: 0.0, refilled_at: LocalInstant::EPOCH }
     }
 
     /// A full bucket.
@@ -25,7 +27,7 @@
     /// whichever is more. It starts with `min_capacity` tokens.
     pub fn earning(refill_rate: f64, min_capacity: f64) -> Self {
         let capacity = refill_rate.max(min_capacity);
-        TokenBucket { tokens: min_capacity, capacity, refill_rate, refilled_at: 0.0 }
+        TokenBucket { tokens: min_capacity, capacity, refill_rate, refilled_at: LocalInstant::EPOCH }
     }
 
     /// Adds tokens, as far as the bucket holds them.
@@ -34,10 +36,10 @@
     }
 
     /// Adds the tokens earned since the last refill.
-    pub fn refill(&mut self, now: f64) -> &mut Self {
-        let elapsed = (now - self.refilled_at).max(0.0);
+    pub fn refill(&mut self, now: LocalInstant) -> &mut Self {
+        let elapsed = (now - self.refilled_at).max(Span::ZERO);
         self.refilled_at = now;
-        self.deposit(elapsed * self.refill_rate);
+        self.deposit(elapsed.as_secs() * self.refill_rate);
         self
     }
 
--- a/src/state/watch.rs
+++ b/src/state/watch.rs
@@ -1,10 +1,12 @@
 //! The watch of the endpoint list.
 
+use crate::time::LocalInstant;
+
 /// Whether the endpoint list is watched, and how often that failed.
 #[derive(Default)]
 pub(crate) struct Watch {
     pub is_open: bool,
-    pub retry_at: f64,
+    pub retry_at: LocalInstant,
     consecutive_failures: i32,
 }
 
--- /dev/null
+++ b/src/time/tests.rs
@@ -0,0 +1,42 @@
+//! Times of the policy, and short constructors of them for the tests of other modules.
+
+use super::{ClusterInstant, LocalInstant, Span};
+
+/// So many seconds.
+pub(crate) const fn secs(seconds: f64) -> Span {
+    Span::from_secs(seconds)
+}
+
+/// The instant on the pooler's clock so many seconds after its zero.
+pub(crate) const fn at(seconds: f64) -> LocalInstant {
+    LocalInstant::from_secs(seconds)
+}
+
+/// The instant on the database hosts' clock so many seconds after its zero.
+pub(crate) const fn cluster(seconds: f64) -> ClusterInstant {
+    ClusterInstant::from_secs(seconds)
+}
+
+#[test]
+fn the_difference_of_two_instants_is_a_span_and_may_be_negative() {
+    assert_eq!(at(3.0) - at(1.0), secs(2.0));
+    assert_eq!(cluster(1.0) - cluster(3.0), secs(-2.0));
+    assert_eq!(at(1.0) + secs(2.0) - secs(0.5), at(2.5));
+}
+
+#[test]
+fn an_offset_leads_from_one_clock_to_the_other_and_back() {
+    let offset = cluster(103.0).offset_from(at(100.0));
+    assert_eq!(offset, secs(3.0));
+    assert_eq!(at(101.0).to_cluster(offset), cluster(104.0));
+    assert_eq!(cluster(104.0).to_local(offset), at(101.0));
+}
+
+#[test]
+fn spans_are_scaled_and_compared() {
+    assert_eq!(secs(2.0) * 1.5, 1.5 * secs(2.0));
+    assert_eq!(secs(3.0) / 2.0, secs(1.5));
+    assert_eq!(secs(3.0) / secs(2.0), 1.5);
+    assert_eq!(secs(-3.0).abs().max(secs(1.0)), secs(3.0));
+    assert!(secs(f64::NEG_INFINITY) < secs(0.0) && secs(0.0) < secs(f64::INFINITY));
+}
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -1,11 +1,11 @@
 //! Admission control: load shedding, tenant quotas and Retry-After.
 
-use pg_pooler::interface::{Event, Outcome, UpdateKind};
+use pg_pooler::interface::{Event, Outcome, Role, UpdateKind};
 use pg_pooler::settings::Settings;
 
 use crate::harness::{
-    default_settings, final_answers, primary, rejects_with_retry_after, sent_endpoints, FinishedAttempt,
-    Simulation, BOUNDED_READ, KEYED_WRITE, LOCAL_ZONE, PRIMARY, STRONG_READ,
+    default_settings, final_answers, primary, rejects_with_retry_after, secs, sent_endpoints,
+    FinishedAttempt, Simulation, BOUNDED_READ, KEYED_WRITE, LOCAL_ZONE, PRIMARY, STRONG_READ,
 };
 
 /// A group that consists of its primary alone.
@@ -18,14 +18,14 @@
 /// The primary serves a request of its own after that time.
 fn serve_after(sim: &mut Simulation, id: &str, elapsed: f64) {
     let served = FinishedAttempt::new(id, PRIMARY, Outcome::Success).elapsed(elapsed);
-    sim.finish_attempt_with(served.primary(true));
+    sim.finish_attempt_with(served.role(Role::Primary));
 }
 
 #[test]
 fn a_request_that_no_endpoint_can_answer_is_rejected_at_once_with_retry_after() {
     let mut sim = Simulation::new(default_settings());
     let unknown_group = 77;
-    let actions = sim.handle(Event::request("x", BOUNDED_READ, unknown_group, 1.0));
+    let actions = sim.handle(Event::request("x", BOUNDED_READ, unknown_group, secs(1.0)));
     assert!(rejects_with_retry_after(&actions));
 }
 
@@ -84,7 +84,7 @@
 fn a_tenant_within_a_fractional_quota_per_pooler_is_not_over_quota() {
     let settings = Settings {
         pooler_count: 100,
-        tenant_quota: vec![40.0],
+        tenant_quota: vec![Some(40.0)],
         over_quota_weight: 0.0,
         ..default_settings()
     };
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -4,7 +4,7 @@
 use pg_pooler::settings::Settings;
 
 use crate::harness::{
-    default_settings, primary, replica, sent_endpoints, Simulation, EVENTUAL_READ, KEYED_WRITE,
+    default_settings, primary, replica, secs, sent_endpoints, Simulation, EVENTUAL_READ, KEYED_WRITE,
     LOCAL_REPLICA, LOCAL_ZONE, PRIMARY,
 };
 
@@ -52,8 +52,11 @@
 #[test]
 fn a_watch_that_fails_repeatedly_is_renewed_every_second() {
     for max_watch_gap in [2.0, 10.0, 60.0] {
-        let mut sim =
-            Simulation::new(Settings { watch_endpoints: true, max_watch_gap, ..default_settings() });
+        let mut sim = Simulation::new(Settings {
+            watch_endpoints: true,
+            max_watch_gap: secs(max_watch_gap),
+            ..default_settings()
+        });
         let watches = |actions: &[Action]| actions.iter().filter(|action| **action == Action::Watch).count();
         for _ in 0..10 {
             sim.update_endpoints(UpdateKind::WatchFailed, Vec::new());
--- a/tests/policy/event_handling.rs
+++ b/tests/policy/event_handling.rs
@@ -3,7 +3,7 @@
 use pg_pooler::interface::{Event, Outcome, UpdateKind};
 
 use crate::harness::{
-    default_settings, final_answers, primary, Simulation, BOUNDED_READ, KEYED_WRITE, LOCAL_REPLICA,
+    default_settings, final_answers, primary, secs, Simulation, BOUNDED_READ, KEYED_WRITE, LOCAL_REPLICA,
     LOCAL_ZONE, PRIMARY, REMOTE_ZONE,
 };
 
@@ -23,9 +23,9 @@
 #[test]
 fn unusual_but_legal_events_are_tolerated() {
     let mut sim = Simulation::new(default_settings());
-    sim.handle(Event::request("no time", KEYED_WRITE, 0, 0.0));
-    sim.handle(Event::request("negative time", BOUNDED_READ, 0, -1.0));
-    sim.handle(Event::request("unknown class", 99, 0, 1.0));
+    sim.handle(Event::request("no time", KEYED_WRITE, 0, secs(0.0)));
+    sim.handle(Event::request("negative time", BOUNDED_READ, 0, secs(-1.0)));
+    sim.handle(Event::request("unknown class", 99, 0, secs(1.0)));
     sim.finish_attempt("unknown", "nobody", 5, Outcome::Success);
     sim.finish_attempt("no time", PRIMARY, 9, Outcome::Timeout);
     sim.update_endpoints(UpdateKind::Snapshot, vec![]);
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -1,9 +1,10 @@
 //! Drives one [`Policy`] through events on a simulated clock and records its actions.
 
 use pg_pooler::interface::{
-    Action, AttemptResult, Endpoint, Event, LoadReport, Outcome, Request, UpdateKind,
+    Action, AttemptResult, Endpoint, Event, LoadReport, Outcome, Request, Role, UpdateKind,
 };
 use pg_pooler::settings::{Consistency, Idempotency, RequestClass, Settings};
+use pg_pooler::time::{LocalInstant, LogPosition, Span};
 use pg_pooler::Policy;
 
 /// The primary of the default endpoint list, in the pooler's own zone.
@@ -41,11 +42,16 @@
 /// Seed of simulations that do not name one.
 const DEFAULT_SEED: u64 = 1;
 
+/// So many seconds.
+pub const fn secs(seconds: f64) -> Span {
+    Span::from_secs(seconds)
+}
+
 fn request_class(consistency: Consistency, idempotency: Idempotency) -> RequestClass {
     RequestClass {
-        latency_objective: 0.5,
-        deadline: 2.0,
-        deduplication_window: 1.2,
+        latency_objective: secs(0.5),
+        deadline: secs(2.0),
+        deduplication_window: secs(1.2),
         idempotency,
         priority_weight: 1.0,
         consistency,
@@ -60,7 +66,7 @@
     Settings {
         classes: vec![
             keyed_write,
-            request_class(Consistency::BoundedStaleness(0.5), Idempotency::Idempotent),
+            request_class(Consistency::BoundedStaleness(secs(0.5)), Idempotency::Idempotent),
             request_class(Consistency::Session, Idempotency::Idempotent),
             request_class(Consistency::Eventual, Idempotency::Idempotent),
             request_class(Consistency::Strong, Idempotency::Idempotent),
@@ -70,19 +76,28 @@
     }
 }
 
+/// The role of an endpoint that is the primary, or is not.
+pub const fn role_of(is_primary: bool) -> Role {
+    if is_primary {
+        Role::Primary
+    } else {
+        Role::Replica
+    }
+}
+
 /// A list entry that names its endpoint as the primary.
 pub fn primary(id: &str, zone: u32) -> Endpoint {
-    Endpoint { primary: true, ..replica(id, zone) }
+    Endpoint { role: Role::Primary, ..replica(id, zone) }
 }
 
 /// A list entry of a replica.
 pub fn replica(id: &str, zone: u32) -> Endpoint {
-    Endpoint { id: id.into(), zone, primary: false, ..Endpoint::default() }
+    Endpoint { id: id.into(), zone, role: Role::Replica, ..Endpoint::default() }
 }
 
 /// A request of the session "s", whose client waits for one second.
 pub fn session_request(id: &str, class: usize) -> Request {
-    let Event::Request(request) = Event::request(id, class, 0, 1.0) else { unreachable!() };
+    let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
     Request { session: Some("s".into()), ..request }
 }
 
@@ -98,9 +113,9 @@
             attempt: 0,
             outcome,
             request_finished: outcome == Outcome::Success,
-            elapsed: 0.05,
+            elapsed: secs(0.05),
             log_position: None,
-            primary: None,
+            role: None,
             report: LoadReport::default(),
         })
     }
@@ -111,21 +126,21 @@
         self
     }
 
-    /// Sets the role that the endpoint gave in its answer: true for a primary.
-    pub fn primary(mut self, primary: bool) -> FinishedAttempt {
-        self.0.primary = Some(primary);
+    /// Sets the role that the endpoint gave in its answer.
+    pub fn role(mut self, role: Role) -> FinishedAttempt {
+        self.0.role = Some(role);
         self
     }
 
     /// Sets the log position that came with the answer.
     pub fn log_position(mut self, log_position: impl Into<Option<f64>>) -> FinishedAttempt {
-        self.0.log_position = log_position.into();
+        self.0.log_position = log_position.into().map(LogPosition::from_secs);
         self
     }
 
     /// Sets the time that the attempt took.
     pub fn elapsed(mut self, elapsed: f64) -> FinishedAttempt {
-        self.0.elapsed = elapsed;
+        self.0.elapsed = secs(elapsed);
         self
     }
 
@@ -178,10 +193,10 @@
     /// Passes one event to the policy at the present time and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.policy.handle(self.now, event, &mut actions);
+        self.policy.handle(LocalInstant::from_secs(self.now), event, &mut actions);
         for action in &actions {
             if let Action::SetTimer { at, cookie } = action {
-                self.timers.push((*at, *cookie));
+                self.timers.push((at.as_secs(), *cookie));
             }
         }
         self.actions.extend(actions.iter().cloned());
@@ -214,7 +229,7 @@
 
     /// Receives a request from a client.
     pub fn request(&mut self, id: &str, class: usize) -> Vec<Action> {
-        self.handle(Event::request(id, class, 0, CLIENT_TIMEOUT))
+        self.handle(Event::request(id, class, 0, secs(CLIENT_TIMEOUT)))
     }
 
     /// Receives a request and returns the one endpoint that it was sent to.
@@ -258,7 +273,10 @@
 
     /// A replica reports the log position that it has applied.
     pub fn report_position(&mut self, endpoint: &str, log_position: f64) {
-        let report = LoadReport { log_position: Some(log_position), primary: Some(false) };
+        let report = LoadReport {
+            log_position: Some(LogPosition::from_secs(log_position)),
+            role: Some(Role::Replica),
+        };
         self.handle(Event::HealthChecked { endpoint: endpoint.into(), outcome: Outcome::Success, report });
     }
 
@@ -300,5 +318,7 @@
 
 /// Whether some request was rejected with advice on when to retry.
 pub fn rejects_with_retry_after(actions: &[Action]) -> bool {
-    actions.iter().any(|action| matches!(action, Action::Reject { retry_after, .. } if *retry_after > 0.0))
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Reject { retry_after: Some(wait), .. } if *wait > Span::ZERO))
 }
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -8,6 +8,7 @@
     UpdateKind,
 };
 use pg_pooler::settings::{Consistency, Idempotency, RequestClass, Settings, StaleReadHandling};
+use pg_pooler::time::LogPosition;
 
 use super::coverage::Coverage;
 use super::records::{AttemptRecord, EndpointRecord, RequestRecord};
@@ -96,7 +97,7 @@
             class: request.class,
             group: request.group,
             arrived_at: self.now,
-            deadline: self.now + request.timeout.min(self.settings.classes[request.class].deadline),
+            deadline: self.now + request.timeout.min(self.settings.classes[request.class].deadline).as_secs(),
             session: request.session.clone(),
             session_position: self.session_position(request),
             attempts: Vec::new(),
@@ -109,7 +110,7 @@
     /// The log position by which the session's writes before this request are applied.
     fn session_position(&self, request: &Request) -> f64 {
         if self.settings.session_tokens_carried {
-            return request.session_token_age.map_or(f64::NEG_INFINITY, |age| self.now - age);
+            return request.session_token_age.map_or(f64::NEG_INFINITY, |age| self.now - age.as_secs());
         }
         let Some(session) = &request.session else { return self.started_at };
         let is_write_in_flight = |other: &RequestRecord| {
@@ -125,7 +126,7 @@
     }
 
     fn observe_result(&mut self, result: &AttemptResult) {
-        self.observe_position(&result.endpoint, result.log_position);
+        self.observe_position(&result.endpoint, result.log_position.map(LogPosition::as_secs));
         self.observe_report(&result.endpoint, &result.report);
         let Some(request) = self.requests.get_mut(&result.id) else { return };
         request.attempts[result.attempt].outcome = Some(result.outcome);
@@ -144,15 +145,15 @@
         if result.outcome.proves_not_executed() {
             return;
         }
-        let commit =
-            result.log_position.filter(|commit| result.outcome == Outcome::Success && *commit <= self.now);
+        let log_position = result.log_position.map(LogPosition::as_secs);
+        let commit = log_position.filter(|commit| result.outcome == Outcome::Success && *commit <= self.now);
         let position = commit.unwrap_or(self.now);
         let known = self.session_writes.entry(session).or_insert(position);
         *known = known.max(position);
     }
 
     fn observe_report(&mut self, endpoint: &Arc<str>, report: &LoadReport) {
-        self.observe_position(endpoint, report.log_position);
+        self.observe_position(endpoint, report.log_position.map(LogPosition::as_secs));
     }
 
     fn observe_position(&mut self, endpoint: &Arc<str>, log_position: Option<f64>) {
@@ -172,7 +173,7 @@
     pub fn check_action(&mut self, action: &Action) -> Result<(), Violation> {
         match action {
             Action::Send { id, endpoint, timeout } => {
-                self.check_send(id, endpoint, *timeout).map_err(|rule| violation(rule, id))?;
+                self.check_send(id, endpoint, timeout.as_secs()).map_err(|rule| violation(rule, id))?;
                 self.count_send(id, endpoint);
                 let attempt = AttemptRecord { sent_at: self.now, outcome: None };
                 if let Some(request) = self.requests.get_mut(id) {
@@ -233,7 +234,7 @@
         timeout: f64,
     ) -> Result<(), &'static str> {
         let Some(first) = request.may_have_been_executed_since() else { return Ok(()) };
-        let window_end = first + class.deduplication_window + ROUNDING;
+        let window_end = first + class.deduplication_window.as_secs() + ROUNDING;
         match class.idempotency {
             Idempotency::Idempotent => Ok(()),
             Idempotency::NonIdempotent => {
@@ -263,7 +264,7 @@
                 "a session read goes only to an endpoint that has applied the session's writes",
             ),
             Consistency::BoundedStaleness(bound) if serves_stale_reads => require(
-                is_primary || position + ROUNDING >= self.now - bound,
+                is_primary || position + ROUNDING >= self.now - bound.as_secs(),
                 "a bounded read goes only to an endpoint that is fresh enough",
             ),
             _ => Ok(()),
--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -4,6 +4,9 @@
 
 use pg_pooler::interface::{Endpoint, EndpointStatus, Event, Outcome, UpdateKind};
 use pg_pooler::settings::{Consistency, RequestClass};
+use pg_pooler::time::ClusterInstant;
+
+use crate::harness::role_of;
 
 pub const GROUPS: u32 = 2;
 const ENDPOINTS_PER_GROUP: u32 = 4;
@@ -71,7 +74,7 @@
 
     fn is_stale(&self, now: f64, consistency: Consistency) -> bool {
         match consistency {
-            Consistency::BoundedStaleness(bound) => self.applied < now - bound,
+            Consistency::BoundedStaleness(bound) => self.applied < now - bound.as_secs(),
             Consistency::Session => self.applied < now - SESSION_LAG,
             Consistency::Write | Consistency::Strong | Consistency::Eventual => false,
         }
@@ -98,8 +101,13 @@
             let group = number / ENDPOINTS_PER_GROUP;
             let is_primary = number.is_multiple_of(ENDPOINTS_PER_GROUP);
             let id = format!("endpoint-{number}").into();
-            let entry =
-                Endpoint { id, zone: number % ZONES, group, primary: is_primary, ..Endpoint::default() };
+            let entry = Endpoint {
+                id,
+                zone: number % ZONES,
+                group,
+                role: role_of(is_primary),
+                ..Endpoint::default()
+            };
             Host { entry, is_primary, condition: Condition::Healthy, applied: f64::NEG_INFINITY }
         };
         Hosts((0..GROUPS * ENDPOINTS_PER_GROUP).map(host).collect())
@@ -158,7 +166,7 @@
         match random.u32(..16) {
             0..=1 => host.entry.status = EndpointStatus::Draining,
             2..=3 => host.entry.status = EndpointStatus::Removed,
-            4..=5 => host.entry.started_at = now,
+            4..=5 => host.entry.started_at = Some(ClusterInstant::from_secs(now)),
             6 => {
                 host.entry.group = random.u32(..GROUPS);
                 host.is_primary = false;
@@ -166,7 +174,7 @@
             7..=11 => host.entry.status = EndpointStatus::Serving,
             _ => {}
         }
-        host.entry.primary = host.is_primary;
+        host.entry.role = role_of(host.is_primary);
         let endpoints = match kind {
             UpdateKind::WatchFailed => Vec::new(),
             UpdateKind::Delta => vec![host.entry.clone()],
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -5,10 +5,11 @@
 
 use pg_pooler::interface::{Action, AttemptResult, Event, LoadReport, Outcome, Request, UpdateKind};
 use pg_pooler::settings::{Settings, StaleReadHandling};
+use pg_pooler::time::LogPosition;
 
 use super::checker::{Checker, Violation};
 use super::hosts::{Hosts, GROUPS};
-use crate::harness::{default_settings, Simulation, KEYED_WRITE};
+use crate::harness::{default_settings, role_of, secs, Simulation, KEYED_WRITE};
 
 /// Past every deadline, so that each request must have been answered.
 const SETTLING_TIME: f64 = 5.0;
@@ -54,9 +55,9 @@
 
 fn random_settings(random: &mut fastrand::Rng) -> Settings {
     let mut settings = default_settings();
-    settings.classes[KEYED_WRITE].deduplication_window = [0.4, 0.8, 1.2, 2.0][random.usize(..4)];
+    settings.classes[KEYED_WRITE].deduplication_window = secs([0.4, 0.8, 1.2, 2.0][random.usize(..4)]);
     Settings {
-        tenant_quota: if random.bool() { vec![50.0, 3.0] } else { Vec::new() },
+        tenant_quota: if random.bool() { vec![Some(50.0), Some(3.0)] } else { Vec::new() },
         over_quota_weight: random.f64(),
         pooler_count: [1, 3, 20][random.usize(..3)],
         health_checks: random.bool(),
@@ -64,7 +65,7 @@
         hedging: random.bool(),
         max_attempts: random.u32(1..7),
         watch_endpoints: random.bool(),
-        max_watch_gap: [2.0, 10.0][random.usize(..2)],
+        max_watch_gap: secs([2.0, 10.0][random.usize(..2)]),
         removal_is_advisory: random.bool(),
         stale_reads: if random.bool() { StaleReadHandling::Serve } else { StaleReadHandling::Reject },
         session_tokens_carried: random.bool(),
@@ -147,7 +148,7 @@
         let is_over = request.final_answers > 0 || request.disconnected && self.random.bool();
         let request_finished = result.request_finished || is_over;
         let elapsed = self.sim.now - pending.sent_at;
-        Event::AttemptFinished(AttemptResult { request_finished, elapsed, ..result })
+        Event::AttemptFinished(AttemptResult { request_finished, elapsed: secs(elapsed), ..result })
     }
 
     fn deliver(&mut self, event: Event) -> Result<(), Violation> {
@@ -165,7 +166,7 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, endpoint, timeout } => self.start_attempt(id, endpoint, timeout),
+            Action::Send { id, endpoint, timeout } => self.start_attempt(id, endpoint, timeout.as_secs()),
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(&id, attempt),
             Action::HealthCheck { endpoint } => self.start_health_check(endpoint),
             _ => {}
@@ -182,7 +183,9 @@
         let report = if outcome.is_response() { self.report(&endpoint) } else { LoadReport::default() };
         let time = match outcome {
             Outcome::Timeout => timeout,
-            Outcome::ConnectFailed if self.random.bool() => self.settings.connect_timeout.min(timeout),
+            Outcome::ConnectFailed if self.random.bool() => {
+                self.settings.connect_timeout.as_secs().min(timeout)
+            }
             Outcome::ConnectFailed | Outcome::Overloaded => CONNECT_TIME.min(timeout),
             // A few answers are slow enough to be overdue.
             _ if self.random.u32(..20) == 0 => timeout * self.random.f64(),
@@ -194,9 +197,9 @@
             attempt,
             outcome,
             request_finished: matches!(outcome, Outcome::Success | Outcome::InvalidRequest),
-            elapsed: 0.0,
+            elapsed: secs(0.0),
             log_position: report.log_position,
-            primary: report.primary.filter(|_| self.random.u32(..4) > 0),
+            role: report.role.filter(|_| self.random.u32(..4) > 0),
             report: if self.random.bool() { report } else { LoadReport::default() },
         };
         self.schedule(time, Event::AttemptFinished(result));
@@ -214,7 +217,10 @@
     fn report(&mut self, endpoint: &Arc<str>) -> LoadReport {
         let host = self.hosts.get(endpoint, self.sim.now);
         let log_position = host.reported_position(self.sim.now, &mut self.random);
-        LoadReport { log_position, primary: Some(host.is_primary) }
+        LoadReport {
+            log_position: log_position.map(LogPosition::from_secs),
+            role: Some(role_of(host.is_primary)),
+        }
     }
 
     fn schedule(&mut self, time: f64, event: Event) {
@@ -230,7 +236,7 @@
                     pending.due = due;
                     result.outcome = Outcome::Cancelled;
                     result.request_finished = false;
-                    (result.log_position, result.primary) = (None, None);
+                    (result.log_position, result.role) = (None, None);
                     result.report = LoadReport::default();
                 }
             }
@@ -262,12 +268,11 @@
             id,
             class: random.usize(..self.settings.classes.len()),
             group: random.u32(..GROUPS),
-            timeout: 0.2 + 2.0 * random.f64(),
-            session_token_age: random.bool().then(|| 2.0 * random.f64()),
+            timeout: secs(0.2 + 2.0 * random.f64()),
+            session_token_age: random.bool().then(|| secs(2.0 * random.f64())),
             session: Some(format!("session-{}", random.u32(..6)).into()).filter(|_| random.bool()),
             tenant: random.usize(..2),
             predicted_work: None,
-            client_retry: false,
         })
     }
 
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -1,10 +1,10 @@
 //! Failure scores, the ejection of outliers, trial requests and reinstatement.
 
-use pg_pooler::interface::{Action, Event, Outcome};
+use pg_pooler::interface::{Action, Event, Outcome, Role};
 use pg_pooler::settings::Settings;
 
 use crate::harness::{
-    default_settings, first_endpoint, sent_endpoints, FinishedAttempt, Simulation, EVENTUAL_READ,
+    default_settings, first_endpoint, secs, sent_endpoints, FinishedAttempt, Simulation, EVENTUAL_READ,
     KEYED_WRITE, LOCAL_REPLICA, NOWHERE, PRIMARY, REMOTE_REPLICA,
 };
 
@@ -96,7 +96,7 @@
         let id = format!("w{i}");
         sim.request(&id, KEYED_WRITE);
         sim.advance_time(0.05);
-        sim.finish_attempt_with(FinishedAttempt::new(&id, PRIMARY, Outcome::Success).primary(true));
+        sim.finish_attempt_with(FinishedAttempt::new(&id, PRIMARY, Outcome::Success).role(Role::Primary));
     }
     sim.advance_time(0.01);
     sim
@@ -128,7 +128,7 @@
     for (fault, tolerated) in [(Outcome::ConnectionReset, 3), (Outcome::ConnectFailed, 1)] {
         let mut sim = Simulation::new(default_settings());
         sim.request("w", KEYED_WRITE);
-        sim.finish_attempt_with(FinishedAttempt::new("w", PRIMARY, Outcome::Success).primary(true));
+        sim.finish_attempt_with(FinishedAttempt::new("w", PRIMARY, Outcome::Success).role(Role::Primary));
         for i in 0..=tolerated {
             let id = format!("{i}");
             assert_eq!(sent_endpoints(&sim.request(&id, KEYED_WRITE)), [PRIMARY], "{fault:?} {id}");
@@ -164,7 +164,7 @@
     let mut sim = Simulation::new(default_settings());
     for i in 0..5 {
         let id = format!("short{i}");
-        assert_eq!(sent_endpoints(&sim.handle(Event::request(&id, KEYED_WRITE, 0, 0.02))), [PRIMARY]);
+        assert_eq!(sent_endpoints(&sim.handle(Event::request(&id, KEYED_WRITE, 0, secs(0.02)))), [PRIMARY]);
         sim.advance_time(0.02);
         sim.finish_attempt_with(FinishedAttempt::new(&id, PRIMARY, Outcome::Timeout).elapsed(0.02));
     }
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -1,6 +1,6 @@
 //! Which endpoint counts as the primary, the search for a lost primary, and the writes queued meanwhile.
 
-use pg_pooler::interface::{Action, Outcome, StateChange, UpdateKind};
+use pg_pooler::interface::{Action, Outcome, Role, StateChange, UpdateKind};
 use pg_pooler::settings::Settings;
 
 use crate::harness::{
@@ -10,13 +10,13 @@
 };
 
 /// An answer in which an endpoint gives its role and its log position.
-fn claim(id: &str, endpoint: &str, primary: bool, log_position: f64) -> FinishedAttempt {
-    FinishedAttempt::new(id, endpoint, Outcome::Success).primary(primary).log_position(log_position)
+fn claim(id: &str, endpoint: &str, role: Role, log_position: f64) -> FinishedAttempt {
+    FinishedAttempt::new(id, endpoint, Outcome::Success).role(role).log_position(log_position)
 }
 
 /// The primary rejects a write because it is no longer the primary.
 fn demote_primary(sim: &mut Simulation, id: &str) {
-    sim.finish_attempt_with(FinishedAttempt::new(id, PRIMARY, Outcome::Ineligible).primary(false));
+    sim.finish_attempt_with(FinishedAttempt::new(id, PRIMARY, Outcome::Ineligible).role(Role::Replica));
 }
 
 #[test]
@@ -25,7 +25,7 @@
     sim.request("w", KEYED_WRITE);
     demote_primary(&mut sim, "w");
     assert!(!sent_endpoints(&sim.request("f", STRONG_READ)).contains(&PRIMARY));
-    let promoted = sim.finish_attempt_with(claim("none", LOCAL_REPLICA, true, sim.now));
+    let promoted = sim.finish_attempt_with(claim("none", LOCAL_REPLICA, Role::Primary, sim.now));
     assert_eq!(sent_endpoints(&promoted), [LOCAL_REPLICA, LOCAL_REPLICA], "queued requests follow the claim");
 }
 
@@ -39,23 +39,23 @@
     assert_eq!(sent_endpoints(&sim.request("delayed", EVENTUAL_READ)), [LOCAL_REPLICA]);
     assert_eq!(sent_endpoints(&sim.request("prompt", EVENTUAL_READ)), [LOCAL_REPLICA]);
     sim.now += 0.2;
-    sim.finish_attempt_with(claim("prompt", LOCAL_REPLICA, false, start + 0.15));
+    sim.finish_attempt_with(claim("prompt", LOCAL_REPLICA, Role::Replica, start + 0.15));
     sim.now += 0.1;
-    sim.finish_attempt_with(claim("delayed", LOCAL_REPLICA, true, start + 0.05));
+    sim.finish_attempt_with(claim("delayed", LOCAL_REPLICA, Role::Primary, start + 0.05));
     sim.now += 0.01;
     assert_eq!(sent_endpoints(&sim.request("strong", STRONG_READ)), NOWHERE, "no primary is known");
     // A claim at the present position counts: the queued read goes there.
     let endpoint = sim.route("again", EVENTUAL_READ);
-    let promoted = sim.finish_attempt_with(claim("again", &endpoint, true, sim.now));
+    let promoted = sim.finish_attempt_with(claim("again", &endpoint, Role::Primary, sim.now));
     assert_eq!(sent_endpoints(&promoted), [endpoint.as_str()]);
 }
 
 #[test]
 fn a_newer_claim_outweighs_an_older_one_and_the_endpoint_list() {
     let mut sim = Simulation::new(default_settings());
-    sim.finish_attempt_with(claim("x", PRIMARY, true, sim.now));
+    sim.finish_attempt_with(claim("x", PRIMARY, Role::Primary, sim.now));
     sim.now += 1.0;
-    sim.finish_attempt_with(claim("x", LOCAL_REPLICA, true, sim.now));
+    sim.finish_attempt_with(claim("x", LOCAL_REPLICA, Role::Primary, sim.now));
     sim.update_endpoints(UpdateKind::Delta, vec![primary(PRIMARY, LOCAL_ZONE)]);
     assert_eq!(sent_endpoints(&sim.request("w", KEYED_WRITE)), [LOCAL_REPLICA]);
 }
@@ -69,7 +69,7 @@
         let queued = sim.request(&format!("w{i}"), KEYED_WRITE);
         assert_eq!(sent_endpoints(&queued).len(), 0, "queued while the primary is down");
     }
-    let promoted = sim.finish_attempt_with(claim("none", LOCAL_REPLICA, true, sim.now));
+    let promoted = sim.finish_attempt_with(claim("none", LOCAL_REPLICA, Role::Primary, sim.now));
     let count = sent_endpoints(&promoted).iter().filter(|endpoint| **endpoint == LOCAL_REPLICA).count();
     assert!((1..=8).contains(&count), "{count}");
 }
@@ -96,7 +96,7 @@
     for attempt in 1..6 {
         if let Some(endpoint) = first_endpoint(&sim.advance_time(0.4)) {
             let rejected = FinishedAttempt::new("w", &endpoint, Outcome::Ineligible).number(attempt);
-            sim.finish_attempt_with(rejected.primary(false));
+            sim.finish_attempt_with(rejected.role(Role::Replica));
             tried.push(endpoint);
         }
     }
--- a/tests/policy/read_routing.rs
+++ b/tests/policy/read_routing.rs
@@ -1,6 +1,6 @@
 //! Where reads go: zones, how fresh the data must be, and long reads that hold up a replica's log.
 
-use pg_pooler::interface::{Outcome, UpdateKind};
+use pg_pooler::interface::{Outcome, Role, UpdateKind};
 use pg_pooler::settings::{Settings, StaleReadHandling};
 
 use crate::harness::{
@@ -69,7 +69,7 @@
 fn where_stale_reads_are_rejected_a_replica_of_unknown_position_is_tried_once() {
     let mut sim = Simulation::new(default_settings());
     assert_eq!(sent_endpoints(&sim.request("b", BOUNDED_READ)), [LOCAL_REPLICA]);
-    let rejected = FinishedAttempt::new("b", LOCAL_REPLICA, Outcome::Ineligible).primary(false);
+    let rejected = FinishedAttempt::new("b", LOCAL_REPLICA, Outcome::Ineligible).role(Role::Replica);
     let retried = sim.finish_attempt_with(rejected.log_position(sim.now - 3.0));
     assert_ne!(sent_endpoints(&retried), [LOCAL_REPLICA]);
     assert_ne!(sent_endpoints(&sim.request("c", BOUNDED_READ)), [LOCAL_REPLICA], "it is left to catch up");
@@ -105,7 +105,7 @@
         let mut attempt = 0;
         while let Some(endpoint) = target {
             let rejected = FinishedAttempt::new(&id, &endpoint, Outcome::Ineligible).number(attempt);
-            let rejected = rejected.primary(false).log_position(sim.now - 3.0);
+            let rejected = rejected.role(Role::Replica).log_position(sim.now - 3.0);
             target = first_endpoint(&sim.finish_attempt_with(rejected));
             attempt += 1;
         }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,25 +1,25 @@
 //! Attempts of a request: deadlines, retries and their budget, idempotency keys and hedged requests.
 
-use pg_pooler::interface::{Action, Event, Outcome, UpdateKind};
+use pg_pooler::interface::{Action, Event, Outcome, Role, UpdateKind};
 use pg_pooler::settings::Settings;
 use rstest::rstest;
 
 use crate::harness::{
-    default_settings, final_answers, first_endpoint, primary, rejects_with_retry_after, replica,
-    sent_endpoints, FinishedAttempt, Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA,
-    LOCAL_ZONE, NON_IDEMPOTENT_WRITE, NOWHERE, PRIMARY, REMOTE_REPLICA, REMOTE_ZONE, SESSION_READ,
-    STRONG_READ,
+    default_settings, final_answers, first_endpoint, primary, rejects_with_retry_after, replica, role_of,
+    secs, sent_endpoints, FinishedAttempt, Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE,
+    LOCAL_REPLICA, LOCAL_ZONE, NON_IDEMPOTENT_WRITE, NOWHERE, PRIMARY, REMOTE_REPLICA, REMOTE_ZONE,
+    SESSION_READ, STRONG_READ,
 };
 
 fn succeed(sim: &mut Simulation, id: &str) {
-    sim.finish_attempt_with(FinishedAttempt::new(id, PRIMARY, Outcome::Success).primary(true));
+    sim.finish_attempt_with(FinishedAttempt::new(id, PRIMARY, Outcome::Success).role(Role::Primary));
 }
 
 #[test]
 fn a_request_ends_at_the_deadline_of_its_class() {
     let mut sim = Simulation::new(default_settings());
-    let actions = sim.handle(Event::request("w", KEYED_WRITE, 0, 1e9));
-    assert!(matches!(actions[..], [.., Action::Send { timeout, .. }] if timeout <= 2.0), "{actions:?}");
+    let actions = sim.handle(Event::request("w", KEYED_WRITE, 0, secs(1e9)));
+    assert!(matches!(actions[..], [.., Action::Send { timeout, .. }] if timeout <= secs(2.0)), "{actions:?}");
     assert_eq!(final_answers(&sim.advance_time(2.0)), 1);
 }
 
@@ -49,7 +49,7 @@
     assert_eq!(final_answers(&sim.advance_time(0.85)), 0, "half of 1.8 s is not over");
     let actions = sim.advance_time(0.1);
     let is_rejection = |action: &Action| match action {
-        Action::Reject { id, retry_after } => &**id == "w" && *retry_after > 0.0,
+        Action::Reject { id, retry_after } => &**id == "w" && *retry_after > Some(secs(0.0)),
         _ => false,
     };
     assert!(actions.iter().any(is_rejection), "{actions:?}");
@@ -161,7 +161,7 @@
     let entries = vec![primary(REMOTE_REPLICA, REMOTE_ZONE), replica(PRIMARY, LOCAL_ZONE)];
     sim.update_endpoints(UpdateKind::Delta, entries);
     for (endpoint, is_primary) in [(REMOTE_REPLICA, true), (PRIMARY, false)] {
-        let claim = FinishedAttempt::new("none", endpoint, Outcome::Success).primary(is_primary);
+        let claim = FinishedAttempt::new("none", endpoint, Outcome::Success).role(role_of(is_primary));
         sim.finish_attempt_with(claim);
     }
     sim.advance_time(0.5);
@@ -171,7 +171,9 @@
 /// Where a request was sent and with which timeout, for each attempt.
 fn attempts_of(sim: &Simulation, request: &str) -> Vec<(String, f64)> {
     let attempt = |action: &Action| match action {
-        Action::Send { id, endpoint, timeout } if &**id == request => Some((endpoint.to_string(), *timeout)),
+        Action::Send { id, endpoint, timeout } if &**id == request => {
+            Some((endpoint.to_string(), timeout.as_secs()))
+        }
         _ => None,
     };
     sim.actions.iter().filter_map(attempt).collect()
@@ -180,7 +182,7 @@
 /// Settings that allow hedged requests, with that deduplication window for keyed writes.
 fn hedging_settings(deduplication_window: f64) -> Settings {
     let mut settings = Settings { hedging: true, ..default_settings() };
-    settings.classes[KEYED_WRITE].deduplication_window = deduplication_window;
+    settings.classes[KEYED_WRITE].deduplication_window = secs(deduplication_window);
     settings
 }
 
@@ -229,7 +231,7 @@
 #[test]
 fn with_hedging_a_request_never_has_three_attempts_in_flight() {
     let mut settings = Settings { hedging: true, ..default_settings() };
-    settings.classes[EVENTUAL_READ].latency_objective = 1.8;
+    settings.classes[EVENTUAL_READ].latency_objective = secs(1.8);
     let mut sim = Simulation::new(settings);
     let replicas = ["replica-1", "replica-2", "replica-3", "replica-4"];
     sim.update_endpoints(UpdateKind::Delta, replicas.map(|id| replica(id, LOCAL_ZONE)).into());
@@ -276,8 +278,8 @@
 /// A retry that is sent late must still arrive inside the deduplication window.
 #[test]
 fn a_retry_leaves_time_for_a_process_that_is_held_up() {
-    let settings = Settings { connect_timeout: 0.05, ..default_settings() };
-    let window = settings.classes[KEYED_WRITE].deduplication_window;
+    let settings = Settings { connect_timeout: secs(0.05), ..default_settings() };
+    let window = settings.classes[KEYED_WRITE].deduplication_window.as_secs();
     for (waited, retries) in [(window - HOLD_UP - 0.01, 1), (window - HOLD_UP + 0.01, 0)] {
         let mut sim = Simulation::new(settings.clone());
         sim.request("w", KEYED_WRITE);
@@ -285,7 +287,7 @@
         sim.finish_attempt("w", PRIMARY, 0, Outcome::Error);
         let attempts = attempts_of(&sim, "w");
         assert_eq!(attempts.len(), 1 + retries, "after {waited} s");
-        let longest = (window - HOLD_UP - waited).max(settings.tick) + 1e-9;
+        let longest = (window - HOLD_UP - waited).max(settings.tick.as_secs()) + 1e-9;
         assert!(attempts[1..].iter().all(|(_, timeout)| *timeout <= longest), "{attempts:?}");
     }
 }
@@ -293,7 +295,7 @@
 #[test]
 fn a_request_without_time_for_an_answer_is_sent_nowhere() {
     let mut sim = Simulation::new(default_settings());
-    let actions = sim.handle(Event::request("late", KEYED_WRITE, 0, 0.004));
+    let actions = sim.handle(Event::request("late", KEYED_WRITE, 0, secs(0.004)));
     assert_eq!((sent_endpoints(&actions), final_answers(&actions)), (Vec::new(), 1));
     assert!(rejects_with_retry_after(&actions));
 }
--- a/tests/policy/sessions.rs
+++ b/tests/policy/sessions.rs
@@ -1,10 +1,10 @@
 //! Read-your-writes consistency: a session's reads see its own earlier writes.
 
-use pg_pooler::interface::{Action, Event, Outcome, Request};
+use pg_pooler::interface::{Action, Event, Outcome, Request, Role};
 use pg_pooler::settings::{Settings, StaleReadHandling};
 
 use crate::harness::{
-    default_settings, sent_endpoints, session_request, FinishedAttempt, Simulation, KEYED_WRITE,
+    default_settings, secs, sent_endpoints, session_request, FinishedAttempt, Simulation, KEYED_WRITE,
     LOCAL_REPLICA, NON_IDEMPOTENT_WRITE, PRIMARY, SESSION_READ,
 };
 
@@ -24,7 +24,7 @@
     sim.now += 0.2;
     let read = |id: &str, age: f64| {
         let request = session_request(id, SESSION_READ);
-        Event::Request(Request { session: None, session_token_age: Some(age), ..request })
+        Event::Request(Request { session: None, session_token_age: Some(secs(age)), ..request })
     };
     assert_eq!(sent_endpoints(&sim.handle(read("old", 0.3))), [LOCAL_REPLICA]);
     assert_eq!(sent_endpoints(&sim.handle(read("new", 0.1))), [PRIMARY]);
@@ -39,7 +39,7 @@
     sim.now += 0.05;
     let commit = sim.now;
     sim.finish_attempt_with(
-        FinishedAttempt::new("w", PRIMARY, Outcome::Success).primary(true).log_position(commit),
+        FinishedAttempt::new("w", PRIMARY, Outcome::Success).role(Role::Primary).log_position(commit),
     );
     assert_eq!(sent_endpoints(&request(&mut sim, "after", SESSION_READ)), [PRIMARY]);
 }
@@ -52,17 +52,19 @@
     for (id, commit) in [("1", None), ("2", Some(sim.now + 1e6)), ("3", Some(f64::NAN))] {
         sim.now += 0.1;
         request(&mut sim, id, KEYED_WRITE);
-        let written = FinishedAttempt::new(id, PRIMARY, Outcome::Success).primary(true);
+        let written = FinishedAttempt::new(id, PRIMARY, Outcome::Success).role(Role::Primary);
         sim.finish_attempt_with(written.log_position(commit));
 
         let read = format!("{id} read");
         assert_eq!(sent_endpoints(&request(&mut sim, &read, SESSION_READ)), [PRIMARY]);
-        sim.finish_attempt_with(FinishedAttempt::new(&read, PRIMARY, Outcome::Success).primary(true));
+        sim.finish_attempt_with(FinishedAttempt::new(&read, PRIMARY, Outcome::Success).role(Role::Primary));
 
         sim.report_fresh(LOCAL_REPLICA);
         let later = format!("{id} later");
         assert_eq!(sent_endpoints(&request(&mut sim, &later, SESSION_READ)), [LOCAL_REPLICA]);
-        sim.finish_attempt_with(FinishedAttempt::new(&later, LOCAL_REPLICA, Outcome::Success).primary(false));
+        sim.finish_attempt_with(
+            FinishedAttempt::new(&later, LOCAL_REPLICA, Outcome::Success).role(Role::Replica),
+        );
     }
 }
 
--- a/tests/policy/settings.rs
+++ b/tests/policy/settings.rs
@@ -3,7 +3,7 @@
 use pg_pooler::settings::Settings;
 use pg_pooler::Policy;
 
-use crate::harness::default_settings;
+use crate::harness::{default_settings, secs};
 
 /// The field that the policy rejects after this change to valid settings.
 fn rejected_field(change: fn(&mut Settings)) -> Option<String> {
@@ -20,11 +20,11 @@
         (|s| s.classes.clear(), "classes"),
         (|s| s.pooler_count = 0, "fleetSize"),
         (|s| s.max_attempts = 0, "limits.maxAttempts"),
-        (|s| s.connect_timeout = f64::NAN, "limits.connectTimeout"),
-        (|s| s.slow_start_window = f64::INFINITY, "invariants.warmUp"),
+        (|s| s.connect_timeout = secs(f64::NAN), "limits.connectTimeout"),
+        (|s| s.slow_start_window = secs(f64::INFINITY), "invariants.warmUp"),
         (|s| s.initial_capacity = 0.0, "invariants.coldFrom"),
-        (|s| s.overload_limit = -1.0, "invariants.tipMultiple"),
-        (|s| s.tenant_quota = vec![-1.0], "customers[0].quotaPerS"),
+        (|s| s.overload_limit = Some(-1.0), "invariants.tipMultiple"),
+        (|s| s.tenant_quota = vec![Some(-1.0)], "customers[0].quotaPerS"),
         (|s| s.classes[2].late_weight = 1.5, "classes[2].lateWorth"),
     ];
     for (change, field) in cases {
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -2,11 +2,12 @@
 
 use pg_pooler::interface::{Endpoint, Outcome, UpdateKind};
 use pg_pooler::settings::Settings;
+use pg_pooler::time::ClusterInstant;
 use rstest::rstest;
 
 use crate::harness::{
-    default_settings, first_endpoint, primary, replica, sent_endpoints, FinishedAttempt, Simulation,
-    BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, PRIMARY, REMOTE_REPLICA,
+    default_settings, first_endpoint, primary, replica, role_of, secs, sent_endpoints, FinishedAttempt,
+    Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, PRIMARY, REMOTE_REPLICA,
     REMOTE_ZONE,
 };
 
@@ -21,7 +22,7 @@
 
 /// The local replica, started at that time.
 fn warming_replica(started_at: f64) -> Endpoint {
-    Endpoint { started_at, ..replica(LOCAL_REPLICA, LOCAL_ZONE) }
+    Endpoint { started_at: Some(ClusterInstant::from_secs(started_at)), ..replica(LOCAL_REPLICA, LOCAL_ZONE) }
 }
 
 #[test]
@@ -94,7 +95,7 @@
         }
         let endpoint = sim.route(id, class);
         let served = FinishedAttempt::new(id, &endpoint, Outcome::Success).elapsed(0.05 * work);
-        sim.finish_attempt_with(served.log_position(now).primary(endpoint == PRIMARY));
+        sim.finish_attempt_with(served.log_position(now).role(role_of(endpoint == PRIMARY)));
         endpoint
     }
 }
@@ -105,12 +106,14 @@
     // Six endpoints bear the load, which is four fifths of their capacity.
     let capacity = FLEET_RATE / 6.0 / 0.8;
     for (first, WarmingRead { sent_at, .. }) in reads.iter().enumerate() {
-        let window =
-            reads[first..].iter().take_while(|read| read.sent_at <= sent_at + settings.overload_window);
+        let window = reads[first..]
+            .iter()
+            .take_while(|read| read.sent_at <= sent_at + settings.overload_window.as_secs());
         let work = window.map(|read| read.work).sum::<f64>() / mean_work;
         let warmth = settings.initial_capacity
-            + (1.0 - settings.initial_capacity) * (sent_at - started_at) / settings.slow_start_window;
-        let limit = settings.overload_limit * warmth * capacity * settings.overload_window;
+            + (1.0 - settings.initial_capacity) * (sent_at - started_at)
+                / settings.slow_start_window.as_secs();
+        let limit = overload_limit(settings) * warmth * capacity * settings.overload_window.as_secs();
         assert!(work <= limit + 2.0 * limit.sqrt() + 2.0, "{work} over a limit of {limit}, at {sent_at}");
     }
 }
@@ -124,7 +127,7 @@
     #[values(false, true)] long_reads: bool,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let settings = Settings { pooler_count, overload_limit, ..default_settings() };
+    let settings = Settings { pooler_count, overload_limit: Some(overload_limit), ..default_settings() };
     let mut fleet = Fleet::new(&settings, seed);
     let (mut reads, mut total_work) = (Vec::new(), 0.0);
     for i in 0..FLEET_REQUESTS {
@@ -140,6 +143,10 @@
     assert_never_overloaded(&reads, total_work / (FLEET_SECONDS * FLEET_RATE), fleet.started_at, &settings);
 }
 
+fn overload_limit(settings: &Settings) -> f64 {
+    settings.overload_limit.expect("these settings have a limit")
+}
+
 /// Requests per second of the fleet in a burst.
 const BURST_RATE: f64 = 3.0 * FLEET_RATE;
 /// Seconds of usual traffic before the burst.
@@ -150,9 +157,10 @@
 fn assert_within_limit(sent_at: &[f64], started_at: f64, settings: &Settings) {
     let full_capacity = FLEET_RATE / 6.0 / 0.8;
     for (first, start) in sent_at.iter().enumerate() {
-        let window = sent_at[first..].iter().take_while(|sent| **sent <= start + settings.overload_window);
-        let capacity = settings.capacity_after(start - started_at) * full_capacity;
-        let limit = settings.overload_limit * capacity * settings.overload_window;
+        let window =
+            sent_at[first..].iter().take_while(|sent| **sent <= start + settings.overload_window.as_secs());
+        let capacity = settings.capacity_after(secs(start - started_at)) * full_capacity;
+        let limit = overload_limit(settings) * capacity * settings.overload_window.as_secs();
         let chance = if limit < 30.0 { 3.0 } else { 2.0 };
         let count = window.count() as f64;
         assert!(
@@ -170,7 +178,7 @@
     #[values(1.5, 4.0)] overload_limit: f64,
     #[values(1, 2, 3)] seed: u64,
 ) {
-    let settings = Settings { pooler_count, overload_limit, ..default_settings() };
+    let settings = Settings { pooler_count, overload_limit: Some(overload_limit), ..default_settings() };
     let mut fleet = Fleet::new(&settings, seed);
     let before = (SECONDS_BEFORE_BURST * FLEET_RATE) as usize;
     let first_time = fleet.started_at;
@@ -200,10 +208,17 @@
     #[values(1.5, 3.0, 4.0)] overload_limit: f64,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
-    let settings = Settings { overload_limit, ..default_settings() };
+    let settings = Settings { overload_limit: Some(overload_limit), ..default_settings() };
     let mut sim = Simulation::with_endpoints(settings.clone(), seed, |now| {
         let remote = REMOTE_REPLICAS.map(|id| replica(id, REMOTE_ZONE));
-        [vec![Endpoint { started_at: now, ..primary(PRIMARY, LOCAL_ZONE) }], remote.to_vec()].concat()
+        [
+            vec![Endpoint {
+                started_at: Some(ClusterInstant::from_secs(now)),
+                ..primary(PRIMARY, LOCAL_ZONE)
+            }],
+            remote.to_vec(),
+        ]
+        .concat()
     });
     let started_at = sim.now;
     let mut sent_at = Vec::new();
@@ -221,7 +236,8 @@
                 sent_at.push(sim.now);
             }
             let outcome = if is_primary { Outcome::Success } else { Outcome::Ineligible };
-            let finished = FinishedAttempt::new(&id, &endpoint, outcome).number(attempt).primary(is_primary);
+            let finished =
+                FinishedAttempt::new(&id, &endpoint, outcome).number(attempt).role(role_of(is_primary));
             let position = if is_primary { sim.now } else { sim.now - 5.0 };
             target = first_endpoint(&sim.finish_attempt_with(finished.log_position(position)));
             attempt += 1;
@@ -233,7 +249,7 @@
 
 #[test]
 fn without_an_overload_limit_a_warming_endpoint_gets_reads() {
-    let mut sim = Simulation::new(Settings { overload_limit: f64::INFINITY, ..default_settings() });
+    let mut sim = Simulation::new(Settings { overload_limit: None, ..default_settings() });
     sim.update_endpoints(UpdateKind::Delta, vec![warming_replica(sim.now)]);
     let endpoints = sim.request_many("a", 50, EVENTUAL_READ);
     assert!(endpoints.iter().any(|endpoint| endpoint == LOCAL_REPLICA), "{endpoints:?}");
