--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,8 @@
 //! The messages between a [`Policy`](crate::Policy) and the program that hosts it: [`Event`]s go in and
 //! [`Action`]s come out. Types only: no decision is taken here.
 //!
-//! The hosting program supplies the time with each event. Times on its own clock and on the clock of the database
-//! hosts are types of their own, see [`crate::time`].
+//! The hosting program supplies the time with each event. Times on its own clock and on the clock of the
+//! database hosts are types of their own, see [`crate::time`].
 
 mod action;
 mod event;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,8 @@
 //! let mut policy = Policy::new(Settings::default(), 7).expect("the defaults are in range");
 //! let mut actions = Vec::new();
 //! let id = "10.0.0.1:9000".into();
-//! let endpoint = Endpoint { id, status: EndpointStatus::Serving, role: Role::Primary, ..Endpoint::default() };
+//! let (status, role) = (EndpointStatus::Serving, Role::Primary);
+//! let endpoint = Endpoint { id, status, role, ..Endpoint::default() };
 //! let start = LocalInstant::from_secs(100.0);
 //! let list = Event::Endpoints { kind: UpdateKind::Cached, endpoints: vec![endpoint] };
 //! policy.handle(start, list, &mut actions);
@@ -33,7 +34,6 @@
 mod net;
 mod policy;
 pub mod settings;
-mod state;
 pub mod time;
 mod transient_error;
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,10 +1,16 @@
-//! Admission: load shedding by predicted latency, tenant quotas and Retry-After.
+//! Admission: load shedding by predicted latency, and the quotas of tenants.
+//!
+//! A request is admitted to an endpoint if its predicted latency takes no more than a share of its latency
+//! objective. The share is larger for requests of higher priority, so that under overload the others are
+//! rejected first. The prediction is the recent latency of the class times the load of the endpoint.
 
-use super::{NoRoute, Policy, Route};
-use crate::interface::{Action, StateChange};
-use crate::settings::RequestClass;
-use crate::state::{EndpointKey, LatencyEstimator, PendingRequest, RequestKey};
-use crate::time::Span;
+use super::cluster::Cluster;
+use super::endpoint_table::EndpointKey;
+use super::latency::LatencyEstimator;
+use super::request::PendingRequest;
+use super::token_bucket::TokenBucket;
+use crate::settings::{RequestClass, Settings};
+use crate::time::{LocalInstant, Span};
 
 /// Share of the latency objective that the predicted latency may take, for the lowest priority ...
 const MIN_OBJECTIVE_SHARE: f64 = 0.45;
@@ -12,78 +18,129 @@
 const MAX_OBJECTIVE_SHARE: f64 = 0.75;
 /// Requests in flight at an endpoint, from all poolers together, that are admitted in any case.
 const ALWAYS_ADMITTED: f64 = 8.0;
-/// Retry-After of a rejection, as a share of the objective: short, so that the retry still falls within it.
-const RETRY_AFTER_SHARE: f64 = 0.12;
 /// Smallest burst of a tenant: with many poolers, one second of its quota is less than one request.
-pub(super) const MIN_TENANT_BURST: f64 = 2.0;
-/// Load shedding is logged again once it has paused for this long (seconds).
+const MIN_TENANT_BURST: f64 = 2.0;
+/// Load shedding is logged again once it has paused for this long.
 const SHEDDING_LOG_INTERVAL: Span = Span::from_secs(1.0);
+/// Initial estimate of a class's latency, as a share of its objective.
+const INITIAL_LATENCY_SHARE: f64 = 0.25;
+/// Weight of a new sample in the latency of a class, which so covers about ten answers.
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
+/// Shortest latency that lowers a priority: below it, classes count as equally quick (seconds).
+const MIN_PRIORITY_LATENCY: f64 = 1e-3;
+/// Lowest priority that others are compared with, in case every class has none.
+const MIN_HIGHEST_PRIORITY: f64 = 1e-9;
 
-impl Policy {
-    /// Expected latency of one more request, from the recent latency of its class and the endpoint's load.
-    pub(super) fn predicted_latency(&self, endpoint: EndpointKey, class: usize) -> Span {
-        let load = &self.endpoints[endpoint].load;
-        let load_factor = (f64::from(load.total(self.now)) + 1.0) / (load.usual + 1.0);
-        self.latency[class].mean * load.latency_ratio.max(0.5) * load_factor.max(1.0)
+/// Whether a request is within the quota of its tenant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum QuotaUse {
+    /// It is, or its tenant has no quota.
+    Within,
+    /// It is beyond: its priority is lower.
+    Beyond,
+}
+
+/// The latencies of the classes and the quotas of the tenants.
+pub(super) struct Admission {
+    /// Latency of successful attempts, by class.
+    latencies: Vec<LatencyEstimator>,
+    /// This pooler's part of each quota; none for tenants without a limit.
+    tenant_quotas: Vec<Option<TokenBucket>>,
+    /// Load shedding is not logged again before then.
+    shedding_logged_until: Option<LocalInstant>,
+}
+
+impl Admission {
+    /// Estimates to begin with, and full quotas.
+    pub(super) fn new(settings: &Settings) -> Admission {
+        let poolers = f64::from(settings.pooler_count);
+        let initial_latency =
+            |class: &RequestClass| LatencyEstimator::new(class.latency_objective * INITIAL_LATENCY_SHARE);
+        let bucket = |quota: &Option<f64>| {
+            quota.map(|per_second| TokenBucket::earning(per_second / poolers, MIN_TENANT_BURST))
+        };
+        Admission {
+            latencies: settings.classes.iter().map(initial_latency).collect(),
+            tenant_quotas: settings.tenant_quota.iter().map(bucket).collect(),
+            shedding_logged_until: None,
+        }
     }
 
-    /// Rejects a request that cannot be answered within this share of its objective, low priorities first.
-    pub(super) fn admit(&self, request: &PendingRequest, to: EndpointKey, objective_share: f64) -> Route {
-        // A late request must not wait in a longer queue: it would delay the requests that are still in time.
-        let is_late = self.now >= request.objective_at;
-        let time_left = if is_late { request.deadline } else { request.objective_at } - self.now;
-        let objective = time_left.min(self.class(request.class).latency_objective) * objective_share;
-        let priority = self.relative_priority(request);
-        let share = MIN_OBJECTIVE_SHARE + (MAX_OBJECTIVE_SHARE - MIN_OBJECTIVE_SHARE) * priority;
-        let predicted = self.predicted_latency(to, request.class);
-        let is_admitted = predicted <= objective * share || self.always_admits(to, predicted);
-        is_admitted.then_some(to).ok_or(NoRoute::Reject)
+    /// Charges a request to the quota of its tenant.
+    pub(super) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaUse {
+        let quota = self.tenant_quotas.get_mut(tenant).and_then(Option::as_mut);
+        if quota.is_none_or(|quota| quota.refill(now).withdraw()) {
+            QuotaUse::Within
+        } else {
+            QuotaUse::Beyond
+        }
     }
 
-    /// Priority relative to the class with the highest one; lower beyond the tenant's quota.
-    fn relative_priority(&self, request: &PendingRequest) -> f64 {
-        let classes = self.settings.classes.iter().zip(&self.latency);
-        let highest = classes.map(|(class, latency)| priority(class, latency)).fold(1e-9, f64::max);
-        let own = priority(self.class(request.class), &self.latency[request.class]) / highest;
-        own * if request.over_quota { self.settings.over_quota_weight } else { 1.0 }
+    /// The latency of a class.
+    pub(super) fn latency(&self, class: usize) -> &LatencyEstimator {
+        &self.latencies[class]
     }
 
-    /// Some requests are admitted whatever the prediction, so that estimates can recover: few per pooler.
-    fn always_admits(&self, endpoint: EndpointKey, predicted: Span) -> bool {
-        let load = &self.endpoints[endpoint].load;
-        let own_share = ALWAYS_ADMITTED / f64::from(self.settings.pooler_count);
-        let has_few = f64::from(load.total(self.now) + 1) <= own_share;
-        has_few || self.now - load.last_sent_at > predicted / own_share
+    /// Takes in the latency of a successful attempt.
+    pub(super) fn record_latency(&mut self, class: usize, latency: Span) {
+        self.latencies[class].record(latency, LATENCY_SAMPLE_WEIGHT);
     }
 
-    pub(super) fn shed(&mut self, key: RequestKey) {
-        if self.shedding_until.is_none_or(|until| self.now >= until) {
-            self.actions.push(Action::Log(StateChange::SheddingLoad));
-        }
-        self.shedding_until = Some(self.now + SHEDDING_LOG_INTERVAL);
-        self.reject_or_fail(key);
+    /// Expected latency of one more request of a class at an endpoint.
+    pub(super) fn predicted_latency(&self, to: EndpointKey, class: usize, cluster: &Cluster) -> Span {
+        let class_mean = self.latencies[class].mean();
+        cluster.endpoint(to).load().predict_latency(class_mean, cluster.now())
     }
 
-    /// Gives up a request: the final answer is a rejection where a retry by the client is harmless.
-    pub(super) fn reject_or_fail(&mut self, key: RequestKey) {
-        let Some(request) = self.requests.get(key) else { return };
-        let (class, id) = (self.class(request.class), request.id.clone());
-        if class.clients_may_retry() || request.may_have_run_since().is_none() {
-            let is_late = self.now >= request.objective_at - self.settings.tick;
-            let is_useless = is_late && class.late_weight == 0.0;
-            let soon = class.latency_objective * RETRY_AFTER_SHARE;
-            let wait = if is_useless { class.deadline } else { soon };
-            let wait = (wait * (0.5 + self.rng.f64())).min(self.settings.max_retry_after);
-            let retry_after = self.settings.send_retry_after.then_some(wait);
-            self.actions.push(Action::Reject { id, retry_after });
-        } else {
-            self.actions.push(Action::Fail { id });
+    /// Whether a request can be answered by an endpoint within this share of its latency objective.
+    pub(super) fn admits(
+        &self,
+        request: &PendingRequest,
+        to: EndpointKey,
+        objective_share: f64,
+        cluster: &Cluster,
+    ) -> bool {
+        // A late request must not wait in a longer queue: it would delay the requests that are still in time.
+        let is_late = cluster.now() >= request.objective_at();
+        let ends_at = if is_late { request.deadline() } else { request.objective_at() };
+        let time_left = ends_at - cluster.now();
+        let objective = time_left.min(cluster.class(request.class()).latency_objective) * objective_share;
+        let priority = self.relative_priority(request, cluster);
+        let share = MIN_OBJECTIVE_SHARE + (MAX_OBJECTIVE_SHARE - MIN_OBJECTIVE_SHARE) * priority;
+        let predicted = self.predicted_latency(to, request.class(), cluster);
+        predicted <= objective * share || always_admits(to, predicted, cluster)
+    }
+
+    /// Priority relative to the class with the highest one; lower beyond the tenant's quota.
+    fn relative_priority(&self, request: &PendingRequest, cluster: &Cluster) -> f64 {
+        let settings = cluster.settings();
+        let classes = settings.classes.iter().zip(&self.latencies);
+        let priorities = classes.map(|(class, latency)| priority(class, latency));
+        let highest = priorities.fold(MIN_HIGHEST_PRIORITY, f64::max);
+        let own = priority(cluster.class(request.class()), &self.latencies[request.class()]) / highest;
+        match request.quota_use() {
+            QuotaUse::Within => own,
+            QuotaUse::Beyond => own * settings.over_quota_weight,
         }
-        self.requests.finish(key);
     }
+
+    /// Notes that load is shed. Returns whether that is to be logged.
+    pub(super) fn note_shedding(&mut self, now: LocalInstant) -> bool {
+        let is_logged = self.shedding_logged_until.is_none_or(|until| now >= until);
+        self.shedding_logged_until = Some(now + SHEDDING_LOG_INTERVAL);
+        is_logged
+    }
+}
+
+/// Some requests are admitted whatever the prediction, so that estimates can recover: few per pooler.
+fn always_admits(to: EndpointKey, predicted: Span, cluster: &Cluster) -> bool {
+    let load = cluster.endpoint(to).load();
+    let own_share = ALWAYS_ADMITTED / f64::from(cluster.settings().pooler_count);
+    let has_few = f64::from(load.total(cluster.now()) + 1) <= own_share;
+    has_few || load.last_sent_at().is_none_or(|sent_at| cluster.now() - sent_at > predicted / own_share)
 }
 
 /// Weight over the root of the latency: of equal weights the quicker class is preferred, but not strictly.
 fn priority(class: &RequestClass, latency: &LatencyEstimator) -> f64 {
-    class.priority_weight / latency.mean.as_secs().max(1e-3).sqrt()
+    class.priority_weight / latency.mean().as_secs().max(MIN_PRIORITY_LATENCY).sqrt()
 }
--- a/src/policy/cluster_time.rs
+++ b/src/policy/cluster_clock.rs
@@ -1,22 +1,60 @@
-//! The database hosts' clock: which times on it are credible, and how far it may differ from the pooler's.
+//! The clock of the endpoints: which times on it are credible, and how far it may differ from the
+//! pooler's.
 //!
-//! A machine's clock may have been stepped before the pooler read it. No host has applied commits of the
+//! A machine's clock may have been stepped before the pooler read it. No endpoint has applied commits of the
 //! future, and a primary stands at the present, so each answer bounds the offset between the two clocks.
 
-use super::Policy;
-use crate::state::{ClusterClock, OffsetBound, OffsetInterval};
 use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
 
-/// How far a log position may lie in the future, for the sake of rounding (seconds).
+/// How far a log position may lie in the future, for the sake of rounding.
 const POSITION_ROUNDING: Span = Span::from_secs(0.001);
 /// By how much two clocks may drift apart, as a share of the time that passes.
 const MAX_DRIFT: f64 = 200e-6;
 
+/// A bound on an offset, and when it was found.
+#[derive(Clone, Copy, Debug)]
+struct OffsetBound {
+    offset: Span,
+    found_at: LocalInstant,
+}
+
+/// What the answer of a primary shows of an offset: it lies between these.
+#[derive(Clone, Copy, Debug)]
+struct OffsetInterval {
+    min: Span,
+    max: Span,
+}
+
+impl OffsetInterval {
+    /// Whether some offset lies in both intervals.
+    fn overlaps(&self, other: &OffsetInterval) -> bool {
+        self.min <= other.max && other.min <= self.max
+    }
+}
+
+/// The clock of the endpoints, by which log positions and the start times of endpoints are given.
+///
+/// It is ahead of the pooler's own clock by an offset that is known within bounds. The pooler's own clock
+/// runs evenly, but may have been wrong when it was read at the start.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct ClusterClock {
+    /// The pooler reads the same clock as the endpoints: there is no offset.
+    is_shared: bool,
+    min_offset: Option<OffsetBound>,
+    max_offset: Option<OffsetBound>,
+    /// The latest evidence that contradicts the bounds. It replaces them once more evidence agrees with it.
+    contradiction: Option<OffsetInterval>,
+}
+
 impl ClusterClock {
-    /// Takes in a time that had come on the hosts' clock when it was received. That the pooler's clock is
-    /// behind is believed of primaries only: a single wrong time in the future would be taken for the
-    /// present.
-    pub(crate) fn observe_past_time(&mut self, time: ClusterInstant, received_at: LocalInstant) {
+    /// A clock of which nothing is known but whether it is the pooler's own.
+    pub(super) const fn new(is_shared: bool) -> ClusterClock {
+        ClusterClock { is_shared, min_offset: None, max_offset: None, contradiction: None }
+    }
+
+    /// Takes in a time that had been reached on the endpoints' clock when it was received. That the pooler's
+    /// clock is behind is believed of primaries only: one wrong time would be taken for the present.
+    pub(super) fn observe_past_time(&mut self, time: ClusterInstant, received_at: LocalInstant) {
         let offset = (time - POSITION_ROUNDING).offset_from(received_at);
         let greatest = self.known_max_offset(received_at).unwrap_or_default();
         if !self.is_shared && offset.as_secs().is_finite() {
@@ -25,10 +63,9 @@
     }
 
     /// Takes in the log position in the answer of a primary, which stood at the present when it answered.
-    ///
-    /// An answer that contradicts what is known so far, or the pooler's clock while nothing is known, counts
-    /// once a second one agrees with it.
-    pub(crate) fn observe_present_time(
+    /// An answer that contradicts what is known so far, or the pooler's clock at first, counts once a
+    /// second agrees.
+    pub(super) fn observe_present_time(
         &mut self,
         time: ClusterInstant,
         sent_at: LocalInstant,
@@ -61,7 +98,7 @@
         }
     }
 
-    /// The least offset that the hosts' clock may have at `now`, if there is evidence of it.
+    /// The least offset that the endpoints' clock may have at `now`, if there is evidence of it.
     fn known_min_offset(&self, now: LocalInstant) -> Option<Span> {
         if self.is_shared {
             return Some(Span::ZERO);
@@ -69,7 +106,7 @@
         self.min_offset.map(|bound| bound.offset - MAX_DRIFT * (now - bound.found_at))
     }
 
-    /// The greatest offset that the hosts' clock may have at `now`, if there is evidence of it.
+    /// The greatest offset that the endpoints' clock may have at `now`, if there is evidence of it.
     fn known_max_offset(&self, now: LocalInstant) -> Option<Span> {
         if self.is_shared {
             return Some(Span::ZERO);
@@ -88,46 +125,37 @@
     /// The likely offset: none, as far as the bounds allow that.
     fn likely_offset(&self, now: LocalInstant) -> Span {
         let max = self.known_max_offset(now).unwrap_or_default();
-        // Evidence of replicas alone tells how far they may lag, and not how far the clock is wrong.
+        // Evidence of replicas alone shows how far they may lag, and not how far the clock is wrong.
         let min = self.known_max_offset(now).and(self.known_min_offset(now)).unwrap_or_default();
         Span::ZERO.min(max).max(min)
     }
 
-    /// The latest time that it may be on the hosts' clock at `now`.
-    pub(crate) fn latest(&self, now: LocalInstant) -> ClusterInstant {
-        now.to_cluster(self.known_max_offset(now).unwrap_or(Span::from_secs(f64::INFINITY)))
+    /// The latest time that it may be on the endpoints' clock at `now`, if there is evidence of it.
+    pub(super) fn latest(&self, now: LocalInstant) -> Option<ClusterInstant> {
+        self.known_max_offset(now).map(|offset| now.to_cluster(offset))
     }
 
-    /// The earliest time that it may be on the hosts' clock at `now`.
-    pub(crate) fn earliest(&self, now: LocalInstant) -> ClusterInstant {
-        now.to_cluster(self.known_min_offset(now).unwrap_or(Span::from_secs(f64::NEG_INFINITY)))
+    /// The earliest time that it may be on the endpoints' clock at `now`, if there is evidence of it.
+    pub(super) fn earliest(&self, now: LocalInstant) -> Option<ClusterInstant> {
+        self.known_min_offset(now).map(|offset| now.to_cluster(offset))
     }
 
-    /// The time that it probably is on the hosts' clock at `now`.
-    pub(crate) fn likely(&self, now: LocalInstant) -> ClusterInstant {
+    /// The time that it probably is on the endpoints' clock at `now`.
+    pub(super) fn likely(&self, now: LocalInstant) -> ClusterInstant {
         now.to_cluster(self.likely_offset(now))
     }
 
-    /// A time on the hosts' clock in terms of the pooler's, as it probably is at `now`.
-    pub(crate) fn to_local(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
+    /// A time on the endpoints' clock in terms of the pooler's, as it probably is at `now`.
+    pub(super) fn to_local(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
         time.to_local(self.likely_offset(now))
     }
 
     /// Whether a log position may have been reached by `now`.
-    pub(crate) fn is_credible(&self, position: LogPosition, now: LocalInstant) -> bool {
+    pub(super) fn is_credible(&self, position: LogPosition, now: LocalInstant) -> bool {
         let greatest = self.known_max_offset(now).unwrap_or_default();
         position.as_secs().is_finite() && position <= now.to_cluster(greatest) + POSITION_ROUNDING
     }
 }
 
-impl Policy {
-    /// The present on the hosts' clock, by which the age of data counts. Where hosts serve stale reads, it
-    /// must not be too early; where they check reads themselves, a wrong guess costs no more than an attempt.
-    pub(super) fn present_for_reads(&self, now: LocalInstant) -> ClusterInstant {
-        if self.settings.stale_reads.is_checked() {
-            self.clock.likely(now)
-        } else {
-            self.clock.latest(now)
-        }
-    }
-}
+#[cfg(test)]
+mod tests;
--- a/src/state/tests/cluster_clock.rs
+++ b/src/policy/cluster_clock/tests.rs
@@ -1,8 +1,6 @@
-//! What answers show of the hosts' clock.
-
 use rstest::rstest;
 
-use crate::state::ClusterClock;
+use super::*;
 use crate::time::tests::{at, cluster, secs};
 
 /// Seconds that an answer takes.
@@ -19,22 +17,28 @@
     );
 }
 
+fn earliest(clock: &ClusterClock, now: f64) -> ClusterInstant {
+    clock.earliest(at(now)).expect("there is evidence")
+}
+
+fn latest(clock: &ClusterClock, now: f64) -> ClusterInstant {
+    clock.latest(at(now)).expect("there is evidence")
+}
+
 #[test]
 fn a_shared_clock_tells_the_same_time_whatever_is_observed() {
     let mut clock = ClusterClock::new(true);
     primary_answers(&mut clock, 5.0, 100.0);
     clock.observe_past_time(cluster(200.0), at(100.0));
-    assert_eq!(
-        (clock.earliest(at(101.0)), clock.likely(at(101.0)), clock.latest(at(101.0))),
-        (cluster(101.0), cluster(101.0), cluster(101.0))
-    );
+    let expected = (Some(cluster(101.0)), cluster(101.0), Some(cluster(101.0)));
+    assert_eq!((clock.earliest(at(101.0)), clock.likely(at(101.0)), clock.latest(at(101.0))), expected);
     assert!(clock.is_credible(cluster(101.0005), at(101.0)) && !clock.is_credible(cluster(101.1), at(101.0)));
 }
 
 #[test]
 fn before_any_answer_the_present_is_the_poolers_without_bounds() {
     let clock = ClusterClock::new(false);
-    let expected = (cluster(f64::NEG_INFINITY), cluster(100.0), cluster(f64::INFINITY));
+    let expected = (None, cluster(100.0), None);
     assert_eq!((clock.earliest(at(100.0)), clock.likely(at(100.0)), clock.latest(at(100.0))), expected);
     assert!(!clock.is_credible(cluster(105.0), at(100.0)));
 }
@@ -46,8 +50,8 @@
         primary_answers(&mut clock, offset, sent_at);
     }
     let present = 102.0 + offset;
-    assert!(clock.earliest(at(102.0)) <= cluster(present) && cluster(present) <= clock.latest(at(102.0)));
-    assert!(clock.latest(at(102.0)) - clock.earliest(at(102.0)) <= secs(ROUND_TRIP + ROUNDING_AND_DRIFT));
+    assert!(earliest(&clock, 102.0) <= cluster(present) && cluster(present) <= latest(&clock, 102.0));
+    assert!(latest(&clock, 102.0) - earliest(&clock, 102.0) <= secs(ROUND_TRIP + ROUNDING_AND_DRIFT));
     assert!((clock.likely(at(102.0)) - cluster(present)).abs() <= secs(ROUND_TRIP));
     assert!(
         clock.is_credible(cluster(present), at(102.0))
@@ -79,17 +83,17 @@
     let mut clock = ClusterClock::new(false);
     clock.observe_past_time(cluster(99.0), at(100.0));
     clock.observe_past_time(cluster(90.0), at(101.0));
-    let earliest = clock.earliest(at(101.0));
-    assert!((cluster(99.9)..=cluster(100.0)).contains(&earliest), "{earliest:?}");
-    assert_eq!((clock.likely(at(101.0)), clock.latest(at(101.0))), (cluster(101.0), cluster(f64::INFINITY)));
+    let at_least = earliest(&clock, 101.0);
+    assert!((cluster(99.9)..=cluster(100.0)).contains(&at_least), "{at_least:?}");
+    assert_eq!((clock.likely(at(101.0)), clock.latest(at(101.0))), (cluster(101.0), None));
     clock.observe_past_time(cluster(1e9), at(102.0));
-    assert!(clock.earliest(at(102.0)) <= cluster(102.0), "a time in the future is not believed of a replica");
+    assert!(earliest(&clock, 102.0) <= cluster(102.0), "a time in the future is not believed of a replica");
 }
 
 #[test]
 fn the_bounds_widen_with_time() {
     let mut clock = ClusterClock::new(false);
     primary_answers(&mut clock, 0.0, 100.0);
-    let width = |now: f64| clock.latest(at(now)) - clock.earliest(at(now));
+    let width = |now: f64| latest(&clock, now) - earliest(&clock, now);
     assert!(width(100_000.0) > width(200.0) && width(200.0) > width(101.0));
 }
--- /dev/null
+++ b/src/policy/dispatch.rs
@@ -0,0 +1,259 @@
+//! The way of a request through the policy: receipt, dispatch, attempts, and its end.
+
+use super::endpoint_table::EndpointKey;
+use super::evidence::Observation;
+use super::give_up::{self, GiveUpReason};
+use super::overdue::{self, OverdueAttempt};
+use super::primary;
+use super::read_routing::ReadRouter;
+use super::request::{Attempt, PendingRequest, RequestTerms};
+use super::request_table::{EndedAttempt, RequestKey};
+use super::retry::{self, Replacement};
+use super::{NoRoute, Policy, Route};
+use crate::interface::{Action, AttemptResult, Outcome, Request, RequestId, StateChange};
+use crate::time::Span;
+
+/// Share of its time that a request may wait unsent, which leaves its client time to retry elsewhere.
+const QUEUE_TIME_SHARE: f64 = 0.5;
+/// A timer that expires at most so many ticks before the deadline is the one for the final answer.
+const FINAL_TIMER_TICKS: f64 = 2.0;
+
+impl Policy {
+    /// Takes in a request and sends it, queues it or gives it up.
+    pub(super) fn request_received(&mut self, request: Request) {
+        if request.class >= self.cluster.settings().classes.len() {
+            self.actions.push(Action::Reject { id: request.id, retry_after: None });
+            return;
+        }
+        self.count_request(&request);
+        let now = self.cluster.now();
+        let terms = self.terms_of(&request);
+        let queue_until = terms.queue_until;
+        let final_answer_at = (terms.deadline - self.cluster.settings().tick).max(now);
+        let key = self.requests.insert(PendingRequest::new(request, terms));
+        self.actions.push(Action::SetTimer { at: queue_until, cookie: key });
+        // This timer guarantees a final answer just before the deadline.
+        self.actions.push(Action::SetTimer { at: final_answer_at, cookie: key });
+        self.dispatch(key);
+    }
+
+    /// Counts a request towards the traffic of its group, and lets it earn retries and health checks.
+    fn count_request(&mut self, request: &Request) {
+        let now = self.cluster.now();
+        let needs_primary = self.cluster.class(request.class).needs_primary();
+        self.retry_budget.deposit();
+        self.health_checks.deposit();
+        self.slow_start.record_request(request.group, needs_primary, &self.cluster);
+        if let Some(group) = self.cluster.endpoints_mut().group_mut(request.group) {
+            group.request_received(now);
+        }
+    }
+
+    fn terms_of(&mut self, request: &Request) -> RequestTerms {
+        let now = self.cluster.now();
+        let class = self.cluster.class(request.class);
+        // A request cannot claim a longer deadline than its class has.
+        let time_left = request.timeout.clamp(Span::ZERO, class.deadline);
+        let work = request.predicted_work.unwrap_or_default();
+        let objective = class.latency_objective + class.latency_objective_factor * work;
+        let queue_time = time_left * QUEUE_TIME_SHARE - self.cluster.settings().tick;
+        RequestTerms {
+            objective_at: now + objective.min(time_left),
+            deadline: now + time_left,
+            queue_until: now + queue_time.max(Span::ZERO),
+            session_token: self.sessions.token(request, &self.requests, &self.cluster),
+            quota_use: self.admission.charge_quota(request.tenant, now),
+            sampling_draw: self.rng.f64(),
+        }
+    }
+
+    /// Ends a request whose queue time or deadline is over. Each request has a timer for both.
+    pub(super) fn request_timer_expired(&mut self, key: RequestKey) {
+        let Some(request) = self.requests.unfinished_mut(key) else { return };
+        let final_timer_time = FINAL_TIMER_TICKS * self.cluster.settings().tick;
+        if self.cluster.now() + final_timer_time >= request.deadline() {
+            self.give_up(key, GiveUpReason::Deadline);
+        } else if request.has_reached_no_endpoint() {
+            self.give_up(key, GiveUpReason::QueueTimeOver);
+        }
+    }
+
+    /// Gives up a request for which the process has no more time.
+    pub(super) fn request_expired(&mut self, id: &RequestId) {
+        let Some(key) = self.requests.key(id) else { return };
+        if self.requests.unfinished_mut(key).is_some() {
+            self.give_up(key, GiveUpReason::Shutdown);
+        }
+    }
+
+    /// Sends a request that has no attempt in flight, queues it, or gives it up.
+    pub(super) fn dispatch(&mut self, key: RequestKey) {
+        let Some(request) = self.requests.get(key).filter(|request| !request.is_in_flight()) else { return };
+        if let Err(reason) = retry::check_dispatch(request, &self.cluster) {
+            return self.give_up(key, reason);
+        }
+        let has_waited = self.cluster.now() >= request.queue_until() && request.has_reached_no_endpoint();
+        match self.route(key) {
+            Ok(endpoint) => self.send(key, endpoint),
+            Err(NoRoute::Queue) if has_waited => self.give_up(key, GiveUpReason::QueueTimeOver),
+            Err(NoRoute::Queue) => self.enqueue(key),
+            Err(NoRoute::GiveUp(reason)) => self.give_up(key, reason),
+        }
+    }
+
+    fn route(&mut self, key: RequestKey) -> Route {
+        let no_endpoint = NoRoute::GiveUp(GiveUpReason::NoEndpoint);
+        let request = self.requests.get(key).ok_or(no_endpoint)?;
+        if self.cluster.class(request.class()).needs_primary() {
+            return primary::route(request, &self.cluster, &self.admission, &self.slow_start);
+        }
+        let router =
+            ReadRouter::new(request, &self.cluster, &self.admission, &self.slow_start, &mut self.rng);
+        router.ok_or(no_endpoint)?.route()
+    }
+
+    fn enqueue(&mut self, key: RequestKey) {
+        let Some(request) = self.requests.get_mut(key) else { return };
+        let Some(group) = self.cluster.endpoints_mut().group_mut(request.group()) else { return };
+        if request.enter_queue() {
+            group.enqueue(key);
+        }
+    }
+
+    /// Starts an attempt if the request may have one at this endpoint. All attempts are started here.
+    pub(super) fn send(&mut self, key: RequestKey, to: EndpointKey) {
+        let now = self.cluster.now();
+        let endpoint = self.cluster.endpoint(to);
+        let Some(request) = self.requests.get_mut(key) else { return };
+        let Ok(answer_by) = retry::next_attempt(request, &self.cluster) else { return };
+        if request.group() != endpoint.group() {
+            return;
+        }
+        let timeout = (answer_by - now).max(self.cluster.settings().tick);
+        let (id, endpoint) = (request.id().clone(), endpoint.id().clone());
+        request.add_attempt(Attempt::new(to, now));
+        self.actions.push(Action::Send { id, endpoint, timeout });
+        self.slow_start.spend(to, &self.cluster);
+        self.cluster.endpoint_mut(to).attempt_sent(now);
+    }
+
+    /// Gives a request its final answer: a rejection where a retry by the client is harmless, else a failure.
+    pub(super) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
+        if reason.is_load_shedding() && self.admission.note_shedding(self.cluster.now()) {
+            self.actions.push(Action::Log(StateChange::SheddingLoad));
+        }
+        let Some(request) = self.requests.get(key) else { return };
+        self.actions.push(give_up::final_answer(request, &self.cluster, &mut self.rng));
+        self.requests.finish(key);
+    }
+
+    /// Takes in the end of an attempt, and retries its request or ends it.
+    pub(super) fn attempt_finished(&mut self, result: &AttemptResult) {
+        let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
+        let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
+        self.cluster.observe_answer(endpoint, result, sent_at);
+        self.cluster.observe_report(endpoint, &result.report);
+        if let Some(ended) = self.requests.end_attempt(result) {
+            self.record_outcome(&ended, result);
+            self.close_idle_connections(endpoint);
+            if let Some(request) = self.requests.get(ended.key) {
+                self.sessions.remember_write(request, result, &self.cluster);
+            }
+            self.finish_or_retry(ended.key, endpoint, result);
+        }
+        self.elect_primary(self.cluster.endpoint(endpoint).group());
+    }
+
+    /// Takes in what the outcome of an attempt shows of its endpoint and of its class.
+    fn record_outcome(&mut self, ended: &EndedAttempt, result: &AttemptResult) {
+        let now = self.cluster.now();
+        let endpoint = ended.attempt.endpoint();
+        self.cluster.endpoint_mut(endpoint).attempt_ended(result.outcome, now);
+        let observation = Observation {
+            attempt: &ended.attempt,
+            result,
+            endpoint: self.cluster.endpoint(endpoint),
+            class_latency: self.admission.latency(ended.class),
+            settings: self.cluster.settings(),
+            now,
+            cluster_now: self.cluster.likely_now(),
+        };
+        let evidence = observation.evidence();
+        if observation.is_connection_refused() {
+            self.connection_limit.record_refusal(&self.cluster);
+        }
+        if result.outcome == Outcome::Success {
+            self.admission.record_latency(ended.class, result.elapsed);
+        }
+        let connect_timeout = self.cluster.settings().connect_timeout;
+        let endpoint = self.cluster.endpoint_mut(endpoint);
+        let change = endpoint.apply_evidence(&evidence, now, connect_timeout, &mut self.rng);
+        self.actions.extend(change.map(Action::Log));
+    }
+
+    fn close_idle_connections(&mut self, endpoint: EndpointKey) {
+        let endpoint = self.cluster.endpoint(endpoint);
+        if self.connection_limit.is_reached(self.cluster.now()) && endpoint.load().in_flight() == 0 {
+            self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id().clone() });
+        }
+    }
+
+    fn finish_or_retry(&mut self, key: RequestKey, endpoint: EndpointKey, result: &AttemptResult) {
+        let Some(request) = self.requests.get(key) else { return };
+        if result.request_finished || request.is_finished() {
+            return self.requests.finish(key);
+        }
+        let is_write = self.cluster.class(request.class()).is_write();
+        let is_at_primary = self.cluster.endpoints().primary(request.group()) == Some(endpoint);
+        if let Err(reason) = retry::check_retry(result.outcome, is_at_primary, &mut self.retry_budget) {
+            return self.give_up(key, reason);
+        }
+        if result.outcome == Outcome::Ineligible && is_write {
+            self.elect_primary(self.cluster.endpoint(endpoint).group());
+        }
+        self.dispatch(key);
+    }
+
+    /// Counts the silence of endpoints as failures, and replaces attempts that take too long.
+    pub(super) fn handle_overdue_attempts(&mut self) {
+        for overdue in overdue::overdue_attempts(&self.requests, &self.admission, &self.cluster) {
+            if overdue.delay.is_endpoint_silent {
+                self.record_silence(overdue.endpoint, overdue.late_attempts);
+            }
+            let Some(request) = self.requests.unfinished_mut(overdue.request) else { continue };
+            if let Some(attempt) = request.attempt_mut(overdue.number) {
+                if overdue.delay.is_endpoint_silent {
+                    attempt.count_silence();
+                }
+            }
+            self.replace_attempt(&overdue);
+        }
+    }
+
+    /// Hedges an attempt that takes too long, or cancels it, so that it is retried.
+    fn replace_attempt(&mut self, overdue: &OverdueAttempt) {
+        let Some(request) = self.requests.get_mut(overdue.request) else { return };
+        let latency = self.admission.latency(request.class());
+        let OverdueAttempt { number, delay, .. } = *overdue;
+        match retry::replacement(request, number, delay, latency, &self.retry_budget, &self.cluster) {
+            Some(Replacement::Hedge) => self.hedge(overdue),
+            Some(Replacement::CancelAndRetry) => {
+                if let Some(attempt) = request.attempt_mut(number) {
+                    attempt.cancel();
+                }
+                self.actions.push(Action::CancelAttempt { id: request.id().clone(), attempt: number });
+            }
+            None => {}
+        }
+    }
+
+    /// Sends a second attempt beside one that takes too long, to another endpoint: a primary that has lost a
+    /// write is not sent it again while the first attempt is in flight.
+    fn hedge(&mut self, overdue: &OverdueAttempt) {
+        let Ok(endpoint) = self.route(overdue.request) else { return };
+        if endpoint != overdue.endpoint {
+            self.retry_budget.withdraw();
+            self.send(overdue.request, endpoint);
+        }
+    }
+}
--- a/src/state/tests/endpoint.rs
+++ b/src/policy/endpoint/tests.rs
@@ -1,12 +1,13 @@
-//! What is known of one endpoint.
-
-use crate::interface::{Endpoint, EndpointStatus, LoadReport, Outcome, Role, UpdateKind};
-use crate::state::{ClusterClock, EndpointState};
+use super::*;
 use crate::time::tests::{at, cluster, secs};
 
-/// The clock of a pooler that reads the same as the hosts.
+/// The clock of a pooler that reads the same as the endpoints.
 const CLOCK: ClusterClock = ClusterClock::new(true);
 
+fn claim(at: LocalInstant) -> Option<PrimaryClaim> {
+    Some(PrimaryClaim { at: Some(at) })
+}
+
 fn endpoint() -> EndpointState {
     EndpointState::new("db-1".into(), 0, 0)
 }
@@ -18,53 +19,53 @@
 #[test]
 fn a_log_position_never_goes_back_and_is_never_in_the_future() {
     let mut endpoint = endpoint();
-    endpoint.observe(&report(10.0, Role::Replica), true, &CLOCK, at(10.0));
-    endpoint.observe(&report(9.0, Role::Replica), true, &CLOCK, at(11.0));
-    endpoint.observe(&report(50.0, Role::Replica), true, &CLOCK, at(12.0));
-    endpoint.observe(&report(f64::NAN, Role::Replica), true, &CLOCK, at(13.0));
-    assert_eq!((endpoint.log_position, endpoint.log_position_at), (cluster(10.0), at(10.0)));
+    endpoint.observe(&report(10.0, Role::Replica), ReportAge::Current, &CLOCK, at(10.0));
+    endpoint.observe(&report(9.0, Role::Replica), ReportAge::Current, &CLOCK, at(11.0));
+    endpoint.observe(&report(50.0, Role::Replica), ReportAge::Current, &CLOCK, at(12.0));
+    endpoint.observe(&report(f64::NAN, Role::Replica), ReportAge::Current, &CLOCK, at(13.0));
+    let known = (endpoint.log_position(), endpoint.log_position_reported_at());
+    assert_eq!(known, (Some(cluster(10.0)), Some(at(10.0))));
 }
 
 #[test]
 fn a_claim_with_an_old_position_was_made_before_the_present_one() {
     let mut endpoint = endpoint();
-    endpoint.observe(&report(10.0, Role::Replica), true, &CLOCK, at(10.0));
-    endpoint.observe(&report(9.0, Role::Primary), true, &CLOCK, at(10.1));
+    endpoint.observe(&report(10.0, Role::Replica), ReportAge::Current, &CLOCK, at(10.0));
+    endpoint.observe(&report(9.0, Role::Primary), ReportAge::Current, &CLOCK, at(10.1));
     assert_eq!(endpoint.primary_claim(secs(5.0)), None);
-    endpoint.observe(&report(10.2, Role::Primary), true, &CLOCK, at(10.2));
-    assert_eq!(endpoint.primary_claim(secs(5.0)), Some(at(10.2)));
+    endpoint.observe(&report(10.2, Role::Primary), ReportAge::Current, &CLOCK, at(10.2));
+    assert_eq!(endpoint.primary_claim(secs(5.0)), claim(at(10.2)));
 }
 
 #[test]
 fn a_role_in_a_report_is_as_old_as_its_position() {
     let mut endpoint = endpoint();
-    endpoint.observe(&report(10.0, Role::Primary), false, &CLOCK, at(12.0));
-    assert_eq!(endpoint.primary_claim(secs(5.0)), Some(at(10.0)));
+    endpoint.observe(&report(10.0, Role::Primary), ReportAge::Unknown, &CLOCK, at(12.0));
+    assert_eq!(endpoint.primary_claim(secs(5.0)), claim(at(10.0)));
 }
 
 #[test]
 fn a_listed_role_counts_only_if_it_is_newer_than_what_the_endpoint_said() {
     let mut endpoint = endpoint();
-    endpoint.observe(&report(10.0, Role::Replica), true, &CLOCK, at(10.0));
+    endpoint.observe(&report(10.0, Role::Replica), ReportAge::Current, &CLOCK, at(10.0));
     let entry = Endpoint { id: "db-1".into(), role: Role::Primary, ..Endpoint::default() };
     endpoint.apply(UpdateKind::Delta, &entry, at(12.0));
     assert_eq!(endpoint.primary_claim(secs(5.0)), None);
-    assert_eq!(endpoint.primary_claim(secs(1.0)), Some(at(11.0)));
+    assert_eq!(endpoint.primary_claim(secs(1.0)), claim(at(11.0)));
 }
 
 #[test]
 fn a_restart_clears_the_failures_and_begins_the_slow_start() {
     let mut endpoint = endpoint();
-    endpoint.health.failure_score = 3.0;
-    endpoint.health.is_ejected = true;
-    endpoint.health.ejected_until = at(20.0);
+    let mut rng = Rng::with_seed(1);
+    assert!(endpoint.record_failure(3.0, at(9.5), secs(0.25), &mut rng).is_some());
+    assert!(endpoint.health().is_ejected());
     let entry = Endpoint { id: "db-1".into(), started_at: Some(cluster(9.0)), ..Endpoint::default() };
-    endpoint.apply(UpdateKind::Delta, &entry, at(10.0));
-    assert_eq!((endpoint.health.failure_score, endpoint.health.is_ejected), (0.0, false));
-    assert_eq!(
-        (endpoint.health.ejected_until, endpoint.min_uptime(&CLOCK, at(10.0))),
-        (at(0.0), Some(secs(1.0)))
-    );
+    assert!(endpoint.apply(UpdateKind::Delta, &entry, at(10.0)));
+    assert_eq!(endpoint.health().ejected_until(), None);
+    assert_eq!(endpoint.min_uptime(&CLOCK, at(10.0)), Some(secs(1.0)));
+    assert_eq!(endpoint.record_failure(1.9, at(10.0), secs(0.25), &mut rng), None, "the score begins anew");
+    assert!(!endpoint.apply(UpdateKind::Delta, &entry, at(11.0)), "it is the same start");
 }
 
 #[test]
@@ -78,18 +79,18 @@
         (EndpointStatus::Serving, false),
     ] {
         endpoint.apply(UpdateKind::Delta, &entry(status), at(1.0));
-        assert_eq!(endpoint.drain_announced, is_announced, "{status:?}");
+        assert_eq!(endpoint.is_drain_announced(), is_announced, "{status:?}");
     }
 }
 
 #[test]
 fn abandoned_attempts_count_as_load_until_their_time() {
     let mut endpoint = endpoint();
-    endpoint.attempt_sent(at(1.0), 0.1);
-    endpoint.load.abandoned.push(at(3.0));
+    endpoint.attempt_sent(at(1.0));
+    endpoint.load.count_abandoned(at(3.0));
     assert_eq!((endpoint.load.total(at(2.0)), endpoint.load.total(at(3.0))), (2, 1));
     endpoint.attempt_ended(Outcome::Timeout, at(4.0));
-    assert_eq!((endpoint.load.total(at(2.0)), endpoint.load.abandoned.len()), (0, 0));
+    assert_eq!((endpoint.load.total(at(2.0)), endpoint.load.abandoned()), (0, 0));
     assert!(endpoint.is_silent_since(at(1.0)), "a timeout is no answer");
     endpoint.attempt_ended(Outcome::Overloaded, at(5.0));
     assert!(!endpoint.is_silent_since(at(5.0)));
--- a/src/state/tests/endpoint_table.rs
+++ b/src/policy/endpoint_table/tests.rs
@@ -1,8 +1,5 @@
-//! The endpoint list and its groups.
-
-use crate::interface::{Endpoint, EndpointId, EndpointStatus, UpdateKind};
-use crate::state::EndpointTable;
-use crate::time::tests::at;
+use super::*;
+use crate::time::tests::{at, cluster};
 
 fn entry(id: &str, group: u32, status: EndpointStatus) -> Endpoint {
     Endpoint { id: id.into(), group, status, ..Endpoint::default() }
@@ -13,7 +10,7 @@
 }
 
 fn status(table: &EndpointTable, id: &str) -> Option<EndpointStatus> {
-    Some(table[table.key(&EndpointId::from(id))?].status)
+    Some(table[table.key(&EndpointId::from(id))?].status())
 }
 
 #[test]
@@ -40,7 +37,7 @@
     let mut table = EndpointTable::default();
     table.apply(UpdateKind::Delta, &[serving("a", 1)], at(1.0));
     table.apply(UpdateKind::Delta, &[serving("a", 2)], at(2.0));
-    let sizes: Vec<usize> = table.groups.values().map(|group| group.endpoints.len()).collect();
+    let sizes: Vec<usize> = table.groups.values().map(|group| group.members().len()).collect();
     assert_eq!((table.group_ids(), sizes), (vec![1, 2], vec![0, 1]));
     table.forget_empty_groups();
     assert_eq!(table.group_ids(), [2]);
@@ -58,3 +55,13 @@
     table.apply(UpdateKind::Delta, &[serving("b", 0)], at(3.0));
     assert_eq!((status(&table, "b"), table.slots()), (Some(EndpointStatus::Serving), 1));
 }
+
+#[test]
+fn an_update_names_the_endpoints_that_it_adds_and_those_that_have_restarted() {
+    let mut table = EndpointTable::default();
+    let started = |id: &str, seconds: f64| Endpoint { started_at: Some(cluster(seconds)), ..serving(id, 0) };
+    let update = table.apply(UpdateKind::Snapshot, &[started("a", 1.0), serving("b", 0)], at(2.0));
+    assert_eq!(update, StartedEndpoints { added: vec![0, 1], restarted: vec![] });
+    let update = table.apply(UpdateKind::Delta, &[started("a", 1.0), started("b", 3.0)], at(4.0));
+    assert_eq!(update, StartedEndpoints { added: vec![], restarted: vec![1] });
+}
--- /dev/null
+++ b/src/policy/event_rate/tests.rs
@@ -0,0 +1,21 @@
+use super::*;
+use crate::time::tests::{at, secs};
+
+const TIME_CONSTANT: Span = secs(2.0);
+
+/// Counts an event every `interval` seconds from `start` until `end`.
+fn record_evenly(rate: &mut EventRate, interval: f64, start: f64, end: f64) {
+    let count = ((end - start) / interval).round() as u32;
+    (0..count).for_each(|index| rate.record(1.0, at(start + f64::from(index) * interval), TIME_CONSTANT));
+}
+
+#[test]
+fn a_rate_is_right_from_the_start_and_follows_a_change_within_its_time() {
+    let mut rate = EventRate::default();
+    assert_eq!(rate.per_second(at(100.0), TIME_CONSTANT), 0.0);
+    record_evenly(&mut rate, 0.01, 100.0, 100.5);
+    assert!((rate.per_second(at(100.5), TIME_CONSTANT) - 100.0).abs() < 2.0, "after half a second");
+    record_evenly(&mut rate, 0.002, 100.5, 110.5);
+    assert!((rate.per_second(at(110.5), TIME_CONSTANT) - 500.0).abs() < 10.0, "after five time constants");
+    assert!(rate.per_second(at(130.5), TIME_CONSTANT) < 0.1, "after twenty seconds without an event");
+}
--- /dev/null
+++ b/src/policy/evidence/tests.rs
@@ -0,0 +1,117 @@
+use rstest::rstest;
+
+use super::*;
+use crate::interface::LoadReport;
+use crate::time::tests::{at, cluster, secs};
+
+/// When the attempt was sent (seconds).
+const SENT_AT: f64 = 10.0;
+
+struct Case {
+    endpoint: EndpointState,
+    attempt: Attempt,
+    latency: LatencyEstimator,
+    settings: Settings,
+}
+
+impl Case {
+    /// An endpoint that answered last at this time. Its class takes 50 ms, with as much deviation.
+    fn new(answered_at: f64) -> Case {
+        let mut endpoint = EndpointState::new("db-1".into(), 0, 0);
+        endpoint.attempt_ended(Outcome::Overloaded, at(answered_at));
+        Case {
+            endpoint,
+            attempt: Attempt::new(0, at(SENT_AT)),
+            latency: LatencyEstimator::new(secs(0.05)),
+            settings: Settings::default(),
+        }
+    }
+
+    fn evidence(&self, outcome: Outcome, elapsed: f64) -> Evidence {
+        let result = AttemptResult {
+            id: "a".into(),
+            endpoint: "db-1".into(),
+            attempt: 0,
+            outcome,
+            request_finished: false,
+            elapsed: secs(elapsed),
+            log_position: None,
+            role: None,
+            report: LoadReport::default(),
+        };
+        let observation = Observation {
+            attempt: &self.attempt,
+            result: &result,
+            endpoint: &self.endpoint,
+            class_latency: &self.latency,
+            settings: &self.settings,
+            now: at(SENT_AT + elapsed),
+            cluster_now: cluster(SENT_AT + elapsed),
+        };
+        observation.evidence()
+    }
+}
+
+#[rstest]
+#[case::served(Outcome::Success, HealthEvidence::Served { sent_at: at(SENT_AT) })]
+#[case::error(Outcome::Error, HealthEvidence::Failed { weight: FAILURE })]
+#[case::reset(Outcome::ConnectionReset, HealthEvidence::Failed { weight: CONNECTION_RESET })]
+#[case::behind(Outcome::Ineligible, HealthEvidence::Unknown)]
+#[case::overloaded(Outcome::Overloaded, HealthEvidence::Unknown)]
+#[case::cancelled(Outcome::Cancelled, HealthEvidence::Unknown)]
+#[case::not_sent(Outcome::NotSent, HealthEvidence::Unknown)]
+#[case::invalid(Outcome::InvalidRequest, HealthEvidence::Unknown)]
+fn an_outcome_shows_of_the_health(#[case] outcome: Outcome, #[case] expected: HealthEvidence) {
+    let evidence = Case::new(9.0).evidence(outcome, 0.1);
+    assert_eq!(evidence.health, expected);
+    assert_eq!(evidence.stale_until.is_some(), outcome == Outcome::Ineligible);
+    assert_eq!(evidence.latency.is_some(), outcome == Outcome::Success);
+    let counts_as_load = matches!(outcome, Outcome::Overloaded | Outcome::Cancelled);
+    assert_eq!(evidence.counts_as_load_until.is_some(), counts_as_load);
+}
+
+#[rstest]
+#[case::refused_by_a_dead_process(9.0, 0.01, Some(EJECTION_SCORE))]
+#[case::refused_after_an_answer(9.9, 0.01, Some(CONNECTION_LOST))]
+#[case::timed_out(9.0, 0.25, Some(CONNECTION_LOST))]
+fn a_failed_connection_counts_by_what_it_proves(
+    #[case] answered_at: f64,
+    #[case] elapsed: f64,
+    #[case] weight: Option<f64>,
+) {
+    let evidence = Case::new(answered_at).evidence(Outcome::ConnectFailed, elapsed);
+    assert_eq!(evidence.health, HealthEvidence::ConnectFailed { weight });
+}
+
+#[test]
+fn silence_is_not_counted_a_second_time_when_the_connection_fails() {
+    let mut case = Case::new(9.0);
+    case.attempt.count_silence();
+    let timed_out = case.evidence(Outcome::ConnectFailed, 0.25);
+    assert_eq!(timed_out.health, HealthEvidence::ConnectFailed { weight: None });
+    let refused = case.evidence(Outcome::ConnectFailed, 0.01);
+    assert_eq!(refused.health, HealthEvidence::ConnectFailed { weight: Some(EJECTION_SCORE) });
+}
+
+#[test]
+fn a_timeout_counts_if_it_is_late_and_the_endpoint_is_silent() {
+    let failed = HealthEvidence::Failed { weight: FAILURE };
+    let late = Case::new(9.0).evidence(Outcome::Timeout, 0.2);
+    assert_eq!((late.health, late.latency.is_some()), (failed, true));
+    let short = Case::new(9.0).evidence(Outcome::Timeout, 0.1);
+    assert_eq!((short.health, short.latency.is_some()), (HealthEvidence::Unknown, false));
+    let answers_others = Case::new(10.1).evidence(Outcome::Timeout, 0.2);
+    assert_eq!((answers_others.health, answers_others.latency.is_some()), (HealthEvidence::Unknown, true));
+    let mut cancelled = Case::new(9.0);
+    cancelled.attempt.cancel();
+    let cancelled = cancelled.evidence(Outcome::Timeout, 0.2);
+    assert_eq!((cancelled.health, cancelled.latency.is_some()), (HealthEvidence::Unknown, false));
+    assert_eq!(cancelled.counts_as_load_until, Some(at(SENT_AT + 0.2) + secs(0.05) + secs(0.05)));
+}
+
+#[test]
+fn a_silent_primary_is_ejected_with_its_second_late_attempt() {
+    assert_eq!(weight_of_silence(true, 1), CONNECTION_LOST);
+    assert_eq!(weight_of_silence(true, 2), EJECTION_SCORE);
+    assert_eq!(weight_of_silence(false, 1), EJECTION_SCORE);
+}
--- /dev/null
+++ b/src/policy/failover.rs
@@ -0,0 +1,114 @@
+//! Failover: the election of a group's primary, the search for a lost one, and the requests that wait for it.
+
+use super::endpoint_table::EndpointKey;
+use super::outlier_detection::MAX_EJECTION;
+use super::{evidence, primary, primary_search, Policy};
+use crate::interface::{Action, EndpointId, LoadReport, Outcome, StateChange};
+
+/// A group counts as in use for this time after a request for it, in multiples of the connect timeout.
+const GROUP_IN_USE_FOR: f64 = MAX_EJECTION;
+
+impl Policy {
+    /// Makes the endpoint with the newest claim the group's primary, and dispatches queued requests.
+    pub(super) fn elect_primary(&mut self, group_id: u32) {
+        let Some(group) = self.cluster.group(group_id) else { return };
+        let primary = primary::elect(group, &self.cluster);
+        if primary != group.primary() {
+            let id = primary.map(|endpoint| self.cluster.endpoint(endpoint).id().clone());
+            let change = StateChange::PrimaryChanged { group: group_id, primary: id };
+            self.actions.push(Action::Log(change));
+        }
+        let is_ready = primary.is_some_and(|endpoint| self.cluster.is_healthy(endpoint));
+        let now = self.cluster.now();
+        if let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) {
+            group.set_primary(primary, is_ready, now);
+        }
+        self.dispatch_queued(group_id);
+    }
+
+    fn dispatch_queued(&mut self, group_id: u32) {
+        let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) else { return };
+        let primary = group.primary();
+        let mut waiting = Vec::new();
+        for key in group.take_queue() {
+            let Some(request) = self.requests.unfinished_mut(key) else { continue };
+            if primary::must_wait(request, primary, &self.cluster) {
+                waiting.push(key);
+            } else {
+                request.leave_queue();
+                self.dispatch(key);
+            }
+        }
+        if let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) {
+            group.requeue(waiting);
+        }
+    }
+
+    /// Continues the search for a group's primary, and refreshes the log positions of its replicas.
+    pub(super) fn search_primary(&mut self, group_id: u32) {
+        let now = self.cluster.now();
+        let connect_timeout = self.cluster.settings().connect_timeout;
+        let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) else { return };
+        let is_due = group.search_mut().step_if_due(now, connect_timeout, &mut self.rng);
+        let is_searching = is_due && !group.queue().is_empty();
+        if self.cluster.settings().health_checks {
+            self.check_group(group_id, is_searching);
+        } else if is_searching {
+            self.send_discovery_write(group_id);
+        }
+    }
+
+    /// Sends health checks to the endpoints of a group: to all in search of the primary, otherwise where a
+    /// log position has to be refreshed.
+    fn check_group(&mut self, group_id: u32, is_searching: bool) {
+        let Some(group) = self.cluster.group(group_id) else { return };
+        let in_use_for = self.cluster.settings().connect_timeout * GROUP_IN_USE_FOR;
+        let is_in_use = self.cluster.now() - group.last_request_at() < in_use_for;
+        for &endpoint in group.members() {
+            let is_due =
+                is_searching || is_in_use && self.health_checks.is_refresh_due(endpoint, &self.cluster);
+            if is_due && self.health_checks.start(endpoint, &self.cluster) {
+                let endpoint = self.cluster.endpoint(endpoint).id().clone();
+                self.actions.push(Action::HealthCheck { endpoint });
+            }
+        }
+    }
+
+    fn send_discovery_write(&mut self, group_id: u32) {
+        let Some(group) = self.cluster.group(group_id) else { return };
+        let write = primary_search::discovery_write(group, &self.requests, &self.slow_start, &self.cluster);
+        let Some(write) = write else { return };
+        if let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) {
+            group.start_discovery(write.request);
+        }
+        self.send(write.request, write.endpoint);
+    }
+
+    /// Takes in the end of a health check.
+    pub(super) fn health_checked(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
+        let Some(endpoint) = self.cluster.endpoints().key(id) else { return };
+        self.health_checks.finished(endpoint);
+        match outcome {
+            // Not recorded as a success: an endpoint that hangs still answers health checks.
+            Outcome::Success => self.cluster.observe_report(endpoint, report),
+            // Endpoints limit the rate of health checks: a rejection is no failure.
+            Outcome::Overloaded | Outcome::NotSent => {}
+            _ => self.record_failure(endpoint, evidence::FAILURE),
+        }
+        self.elect_primary(self.cluster.endpoint(endpoint).group());
+    }
+
+    /// Counts the silence of an endpoint, at which so many attempts are late, as a failure.
+    pub(super) fn record_silence(&mut self, endpoint: EndpointKey, late_attempts: u32) {
+        let weight = evidence::weight_of_silence(self.cluster.is_primary(endpoint), late_attempts);
+        self.record_failure(endpoint, weight);
+    }
+
+    fn record_failure(&mut self, endpoint: EndpointKey, weight: f64) {
+        let now = self.cluster.now();
+        let connect_timeout = self.cluster.settings().connect_timeout;
+        let endpoint = self.cluster.endpoint_mut(endpoint);
+        let change = endpoint.record_failure(weight, now, connect_timeout, &mut self.rng);
+        self.actions.extend(change.map(Action::Log));
+    }
+}
--- /dev/null
+++ b/src/policy/give_up.rs
@@ -0,0 +1,74 @@
+//! Giving up: why a request is not sent any further, and which final answer it gets.
+//!
+//! A request is rejected where a retry by its client is harmless, with a Retry-After if the settings allow
+//! one. Otherwise it fails: it may have been executed. The reason decides nothing but whether load shedding
+//! is logged; it is named at each place that gives up.
+
+use fastrand::Rng;
+
+use super::cluster::Cluster;
+use super::random::Jitter;
+use super::request::PendingRequest;
+use super::retry::{self, NoAttempt};
+use crate::interface::Action;
+use crate::settings::RequestClass;
+use crate::time::Span;
+
+/// Retry-After of a rejection, as a share of the objective: short, so that the retry still falls within it.
+const RETRY_AFTER_SHARE: f64 = 0.12;
+
+/// Why a request is given up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum GiveUpReason {
+    /// It has waited for its group's primary as long as it may.
+    QueueTimeOver,
+    /// Its deadline is reached.
+    Deadline,
+    /// An answer would be too late to be of use.
+    NoUsefulAnswer,
+    /// It may not have another attempt.
+    NoAttempt(NoAttempt),
+    /// It may have been executed, and the retry budget is used up.
+    NoRetryBudget,
+    /// Its primary has rejected it, and no other endpoint can take it.
+    PrimaryOverloaded,
+    /// No endpoint is predicted to answer it in time.
+    NoCapacity,
+    /// No endpoint of its group may take it.
+    NoEndpoint,
+    /// The process ends before it could be answered.
+    Shutdown,
+}
+
+impl GiveUpReason {
+    /// Whether the rejection counts as load shedding in the log.
+    pub(super) fn is_load_shedding(self) -> bool {
+        matches!(self, GiveUpReason::NoCapacity | GiveUpReason::NoEndpoint)
+    }
+}
+
+/// The final answer to a request that is given up.
+pub(super) fn final_answer(request: &PendingRequest, cluster: &Cluster, rng: &mut Rng) -> Action {
+    let id = request.id().clone();
+    let class = cluster.class(request.class());
+    if !retry::may_client_retry(request, class) {
+        return Action::Fail { id };
+    }
+    let settings = cluster.settings();
+    let pause = Jitter::WIDE.apply(mean_retry_after(request, class, cluster), rng);
+    let retry_after = settings.send_retry_after.then_some(pause.min(settings.max_retry_after));
+    Action::Reject { id, retry_after }
+}
+
+/// The mean Retry-After. A retry within the objective still earns something; one that cannot is put off.
+fn mean_retry_after(request: &PendingRequest, class: &RequestClass, cluster: &Cluster) -> Span {
+    let is_late = cluster.now() >= request.objective_at() - cluster.settings().tick;
+    if is_late && class.late_weight == 0.0 {
+        class.deadline
+    } else {
+        class.latency_objective * RETRY_AFTER_SHARE
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,66 +1,147 @@
-//! Every decision of the pooler. Its events and actions are in `src/interface`, its data in `src/state`.
+//! Every decision of the pooler. Its events and actions are in `src/interface`.
+//!
+//! [`Policy`] takes an event, calls the subjects that it concerns, in order, and returns actions. Each
+//! subject is a module that owns its state and its rules:
+//!
+//! | Subject | Module |
+//! |---|---|
+//! | The way of a request | [`dispatch`] |
+//! | May a request be sent again, and until when? | [`retry`] |
+//! | Which final answer does it get, and why? | [`give_up`] |
+//! | Which endpoint gets a read? | [`read_routing`] |
+//! | Is a replica recent enough? | [`freshness`] |
+//! | Can an endpoint answer in time? | [`admission`] |
+//! | What may an endpoint get that is warming up? | [`slow_start`] |
+//! | Which endpoint is the primary? | [`primary`], [`primary_search`], [`failover`] |
+//! | What does an outcome show of its endpoint? | [`evidence`] |
+//! | Which endpoints are ejected? | [`outlier_detection`] |
+//! | Which attempts take too long? | [`overdue`] |
+//! | What does a session have to see? | [`session`] |
+//! | When is the endpoint list called for? | [`watch`] |
+//!
+//! The rest holds what these share: [`cluster`] with endpoints, groups and clocks, the pending requests, and
+//! estimates.
 
 mod admission;
-mod attempts;
-mod cluster_time;
-mod endpoints;
+mod cluster;
+mod cluster_clock;
+mod connection_limit;
+mod dispatch;
+mod endpoint;
+mod endpoint_table;
+mod event_rate;
+mod evidence;
+mod failover;
+mod freshness;
+mod give_up;
+mod group;
+mod health_checks;
+mod latency;
 mod outlier_detection;
 mod overdue;
 mod primary;
 mod primary_search;
+mod random;
 mod read_routing;
-mod results;
-mod sessions;
+mod request;
+mod request_table;
+mod retry;
+mod session;
+mod session_table;
 mod slow_start;
+mod token_bucket;
+mod watch;
 
-use crate::interface::{Action, Event};
+use fastrand::Rng;
+
+use crate::interface::{Action, Endpoint, Event, StateChange, UpdateKind};
 use crate::settings::{validate, Settings, SettingsError};
-pub use crate::state::Policy;
-use crate::state::{EndpointKey, LatencyEstimator, TokenBucket};
 use crate::time::{LocalInstant, Span};
+use admission::Admission;
+use cluster::Cluster;
+use connection_limit::ConnectionLimit;
+use endpoint_table::EndpointKey;
+use give_up::GiveUpReason;
+use health_checks::HealthChecks;
+use random::Jitter;
+use request_table::RequestTable;
+use retry::RetryBudget;
+use session::Sessions;
+use slow_start::SlowStart;
+use watch::{Watch, WatchChange};
 
 /// Cookie of the housekeeping timer; requests use their own key, from 1.
 const HOUSEKEEPING_COOKIE: u64 = 0;
-/// Housekeeping interval as a share of the shortest latency objective, which leaves time for a retry.
+/// Housekeeping interval as a share of the shortest latency objective, which leaves time for a retry ...
 const HOUSEKEEPING_SHARE: f64 = 0.1;
-/// Initial estimate of a class's latency, as a share of its objective.
-const INITIAL_LATENCY: f64 = 0.25;
-/// Weight of a new sample in running means, which so cover about ten answers.
-const SAMPLE_WEIGHT: f64 = 0.1;
+/// ... within these limits.
+const MIN_HOUSEKEEPING_INTERVAL: Span = Span::from_secs(0.01);
+const MAX_HOUSEKEEPING_INTERVAL: Span = Span::from_secs(0.1);
+/// Stands for the shortest latency objective where that is longer.
+const MAX_SHORTEST_OBJECTIVE: Span = Span::from_secs(1.0);
+/// A removed endpoint is forgotten after this multiple of the watch gap, far beyond every deadline.
+const FORGET_AFTER_WATCH_GAPS: f64 = 3.0;
 
-/// Why a request is not sent now: it waits for its group's primary, or no endpoint can answer in time.
+/// Why a request is not sent now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NoRoute {
+    /// It waits for its group's primary.
     Queue,
-    Reject,
+    /// It is given up.
+    GiveUp(GiveUpReason),
 }
+
+/// Where a request is sent, or why it is not.
 type Route = Result<EndpointKey, NoRoute>;
 
+/// Decides where each request of one pooler goes.
+pub struct Policy {
+    cluster: Cluster,
+    requests: RequestTable,
+    admission: Admission,
+    slow_start: SlowStart,
+    retry_budget: RetryBudget,
+    health_checks: HealthChecks,
+    sessions: Sessions,
+    watch: Watch,
+    connection_limit: ConnectionLimit,
+    housekeeping_interval: Span,
+    is_housekeeping_scheduled: bool,
+    rng: Rng,
+    /// What is to be done about the present event.
+    actions: Vec<Action>,
+}
+
 impl Policy {
     /// A policy with these settings; all its randomness comes from the seed.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first setting that is out of its range.
     pub fn new(settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
         validate(&settings)?;
-        let mut policy = Policy::empty(settings, fastrand::Rng::with_seed(seed));
-        let classes = &policy.settings.classes;
-        let objectives = classes.iter().map(|class| class.latency_objective);
-        let shortest_objective = objectives.clone().fold(Span::from_secs(1.0), Span::min);
-        policy.housekeeping_interval =
-            (shortest_objective * HOUSEKEEPING_SHARE).clamp(Span::from_secs(0.01), Span::from_secs(0.1));
-        policy.latency =
-            objectives.map(|objective| LatencyEstimator::new(objective * INITIAL_LATENCY)).collect();
-        policy.retry_budget = TokenBucket::new(attempts::MAX_RETRIES / 2.0, attempts::MAX_RETRIES);
-        policy.health_check_budget = TokenBucket::full(primary_search::MAX_HEALTH_CHECKS);
-        let poolers = f64::from(policy.settings.pooler_count);
-        let bucket = |quota: &Option<f64>| {
-            quota.map(|quota| TokenBucket::earning(quota / poolers, admission::MIN_TENANT_BURST))
-        };
-        policy.tenant_quotas = policy.settings.tenant_quota.iter().map(bucket).collect();
-        Ok(policy)
+        Ok(Policy {
+            requests: RequestTable::default(),
+            admission: Admission::new(&settings),
+            slow_start: SlowStart::new(),
+            retry_budget: RetryBudget::new(),
+            health_checks: HealthChecks::new(),
+            sessions: Sessions::default(),
+            watch: Watch::default(),
+            connection_limit: ConnectionLimit::default(),
+            housekeeping_interval: housekeeping_interval(&settings),
+            is_housekeeping_scheduled: false,
+            rng: Rng::with_seed(seed),
+            actions: Vec::new(),
+            cluster: Cluster::new(settings),
+        })
     }
 
     /// Handles one event at the time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: LocalInstant, event: Event, actions: &mut Vec<Action>) {
-        self.now = self.now.max(now);
+        self.cluster.advance_to(now);
         match event {
+            Event::Endpoints { kind: UpdateKind::WatchFailed, .. } => self.watch_failed(),
             Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
@@ -68,30 +149,82 @@
                 self.health_checked(&endpoint, outcome, &report);
             }
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
-                self.requests.finish_by_id(&id)
+                self.requests.finish_by_id(&id);
             }
             Event::Expired { id } => self.request_expired(&id),
             Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
             Event::Timer { cookie } => self.request_timer_expired(cookie),
         }
-        if !std::mem::replace(&mut self.housekeeping_scheduled, true) {
-            let at = self.now + self.housekeeping_interval * (0.5 + self.rng.f64());
+        self.schedule_housekeeping();
+        actions.append(&mut self.actions);
+    }
+
+    fn schedule_housekeeping(&mut self) {
+        if !std::mem::replace(&mut self.is_housekeeping_scheduled, true) {
+            let pause = Jitter::WIDE.apply(self.housekeeping_interval, &mut self.rng);
+            let at = self.cluster.now() + pause;
             self.actions.push(Action::SetTimer { at, cookie: HOUSEKEEPING_COOKIE });
         }
-        actions.append(&mut self.actions);
     }
 
     /// Handles what no event announces: overdue attempts, queued requests, lost primaries and the watch.
     fn housekeep(&mut self) {
-        self.housekeeping_scheduled = false;
-        self.reopen_watch();
+        self.is_housekeeping_scheduled = false;
+        let now = self.cluster.now();
+        if self.watch.call_if_due(self.cluster.settings(), now) {
+            self.actions.push(Action::Watch);
+        }
         self.handle_overdue_attempts();
-        self.endpoints.forget_empty_groups();
-        let horizon = self.now - self.settings.max_watch_gap * endpoints::FORGET_AFTER;
-        for group in self.endpoints.group_ids() {
-            self.endpoints.forget_removed(group, horizon);
+        self.cluster.endpoints_mut().forget_empty_groups();
+        self.slow_start.forget_groups(&self.cluster);
+        let horizon = now - self.cluster.settings().max_watch_gap * FORGET_AFTER_WATCH_GAPS;
+        for group in self.cluster.endpoints().group_ids() {
+            self.cluster.endpoints_mut().forget_removed(group, horizon);
             self.search_primary(group);
             self.elect_primary(group);
         }
     }
+
+    fn watch_failed(&mut self) {
+        let now = self.cluster.now();
+        let change = self.watch.failed(self.cluster.settings(), now, &mut self.rng);
+        if change == WatchChange::Changed {
+            self.actions.push(Action::Log(StateChange::WatchLost));
+        }
+    }
+
+    fn endpoints_updated(&mut self, kind: UpdateKind, entries: &[Endpoint]) {
+        if kind == UpdateKind::Cached {
+            // After a restart no writes are remembered: any session may have written until now.
+            self.sessions.forget_everything_until(self.cluster.now());
+        } else if self.watch.succeeded() == WatchChange::Changed {
+            self.actions.push(Action::Log(StateChange::WatchRestored));
+        }
+        let started = self.cluster.apply(kind, entries);
+        for &endpoint in &started.added {
+            self.health_checks.endpoint_added(endpoint);
+        }
+        for &endpoint in started.added.iter().chain(&started.restarted) {
+            self.slow_start.endpoint_started(endpoint);
+        }
+        for group in self.cluster.endpoints().group_ids() {
+            self.elect_primary(group);
+        }
+    }
+
+    /// How many endpoints are kept in memory, those that were removed recently included.
+    pub fn endpoints_known(&self) -> usize {
+        self.cluster.endpoints().slots()
+    }
+
+    /// How many groups are kept in memory.
+    pub fn groups_known(&self) -> usize {
+        self.cluster.endpoints().group_count()
+    }
+}
+
+fn housekeeping_interval(settings: &Settings) -> Span {
+    let objectives = settings.classes.iter().map(|class| class.latency_objective);
+    let shortest = objectives.fold(MAX_SHORTEST_OBJECTIVE, Span::min);
+    (shortest * HOUSEKEEPING_SHARE).clamp(MIN_HOUSEKEEPING_INTERVAL, MAX_HOUSEKEEPING_INTERVAL)
 }
--- a/src/state/tests/outlier_detector.rs
+++ b/src/policy/outlier_detection/tests.rs
@@ -1,10 +1,5 @@
-//! The failure score of an endpoint, its ejection and its reinstatement.
-
-use fastrand::Rng;
-
-use crate::state::OutlierDetector;
+use super::*;
 use crate::time::tests::{at, secs};
-use crate::time::{LocalInstant, Span};
 
 /// The connect timeout of these tests.
 const CONNECT_TIMEOUT: Span = secs(0.25);
@@ -15,7 +10,7 @@
 
 fn eject(detector: &mut OutlierDetector, now: LocalInstant) -> Span {
     detector.record_failure(EJECTING_FAILURE, now, CONNECT_TIMEOUT, &mut Rng::with_seed(1));
-    detector.ejected_until - now
+    detector.ejected_until().expect("it is ejected") - now
 }
 
 #[test]
@@ -23,7 +18,7 @@
     let (mut detector, mut rng) = (OutlierDetector::default(), Rng::with_seed(1));
     assert!(!detector.record_failure(FAILURE, at(10.0), CONNECT_TIMEOUT, &mut rng));
     assert!(detector.record_failure(FAILURE, at(10.0), CONNECT_TIMEOUT, &mut rng));
-    assert!(detector.is_ejected);
+    assert!(detector.is_ejected());
 }
 
 #[test]
@@ -32,7 +27,7 @@
     for second in 0..50 {
         assert!(!detector.record_failure(FAILURE, at(f64::from(second * 10)), CONNECT_TIMEOUT, &mut rng));
     }
-    assert!(!detector.is_ejected);
+    assert!(!detector.is_ejected());
 }
 
 #[test]
@@ -51,7 +46,7 @@
     let duration = eject(&mut detector, at(10.0));
     assert!(!detector.is_trial_due(at(10.0) + duration - secs(0.01)));
     assert!(detector.is_trial_due(at(10.0) + duration));
-    detector.trial_in_flight = true;
+    detector.request_sent();
     assert!(!detector.is_trial_due(at(10.0) + duration));
 }
 
@@ -59,14 +54,14 @@
 fn failures_before_the_trial_do_not_prolong_the_ejection() {
     let mut detector = OutlierDetector::default();
     eject(&mut detector, at(10.0));
-    let until = detector.ejected_until;
+    let until = detector.ejected_until().expect("it is ejected");
     assert!(!detector.record_failure(
         EJECTING_FAILURE,
         until - secs(0.01),
         CONNECT_TIMEOUT,
         &mut Rng::with_seed(1)
     ));
-    assert_eq!(detector.ejected_until, until);
+    assert_eq!(detector.ejected_until(), Some(until));
 }
 
 #[test]
@@ -76,7 +71,7 @@
     let mut durations = Vec::new();
     for _ in 0..6 {
         durations.push(eject(&mut detector, now));
-        now = detector.ejected_until;
+        now = detector.ejected_until().expect("it is ejected");
     }
     let expected = [2.0, 4.0, 8.0, 12.0, 12.0, 12.0].map(|units| units * CONNECT_TIMEOUT);
     for (duration, expected) in durations.iter().zip(expected) {
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -1,155 +1,291 @@
-//! Routing of reads: to a fresh replica in the local zone, then in other zones, then to the primary.
+//! Routing of reads: which endpoint gets a read that a replica may answer.
+//!
+//! The steps are tried in this order, and the first endpoint that admits the read gets it:
+//!
+//! 1. a fresh replica, first in the pooler's own zone;
+//! 2. a replica that may be fresh, if none is known to be;
+//! 3. the primary, as far as it has capacity to spare;
+//! 4. an ejected endpoint, as the last resort.
+//!
+//! An endpoint that was tried before is not tried again.
 
+use fastrand::Rng;
+
+use super::admission::Admission;
+use super::cluster::Cluster;
+use super::endpoint_table::EndpointKey;
+use super::freshness::{self, Freshness, RequiredPosition};
+use super::give_up::GiveUpReason;
 use super::outlier_detection::MAX_EJECTION;
-use super::{NoRoute, Policy, Route};
+use super::random::PairOfDraws;
+use super::request::PendingRequest;
+use super::slow_start::SlowStart;
+use super::{NoRoute, Route};
 use crate::settings::Consistency;
-use crate::state::{two_of, EndpointKey, PendingRequest, RequestKey};
-use crate::time::{LocalInstant, LogPosition};
+use crate::time::LocalInstant;
 
-/// A read leaves its zone at more than this multiple of the load of the idlest remote replica ...
+/// A read leaves its zone at more than this multiple of the load of the least loaded remote replica ...
 const EXIT_MULTIPLE: u32 = 2;
 /// ... and at least this many more requests in flight.
 const EXIT_MARGIN: u32 = 3;
-/// Objective share for reads on the primary, which must keep capacity for writes and strong reads.
-const OVERFLOW_SHARE: f64 = 0.35;
+/// Share of the latency objective for reads on a replica.
+const REPLICA_OBJECTIVE_SHARE: f64 = 1.0;
+/// Share of the latency objective for reads on the primary, which must keep capacity for writes and strong
+/// reads.
+const PRIMARY_OBJECTIVE_SHARE: f64 = 0.35;
+/// So many replicas that are behind are considered for a long read: it would delay the log of each of them.
+const MAX_CANDIDATES_FOR_LONG_READ: usize = 2;
+
+/// What one step has found.
+enum Step {
+    /// This endpoint gets the read.
+    Chosen(EndpointKey),
+    /// There is an endpoint, but it cannot answer in time.
+    NotAdmitted,
+    /// There is no endpoint of this kind.
+    NoCandidate,
+}
 
-struct Read<'a> {
+/// One read that is to be routed, and what is known for it.
+pub(super) struct ReadRouter<'a> {
     request: &'a PendingRequest,
-    is_eventual: bool,
-    needed: LogPosition,
+    cluster: &'a Cluster,
+    admission: &'a Admission,
+    slow_start: &'a SlowStart,
+    required: RequiredPosition,
+    /// Share of the group's reads for an endpoint in slow start.
     slow_start_share: f64,
-    draws: (usize, usize),
+    draws: PairOfDraws,
     primary: Option<EndpointKey>,
     /// Usable endpoints of its group that it has not tried; the primary among them.
-    untried: Vec<EndpointKey>,
+    candidates: Vec<EndpointKey>,
+    /// The replicas among them that are fresh and fit.
+    fresh_replicas: Vec<EndpointKey>,
 }
 
-impl Policy {
-    pub(super) fn route_read(&mut self, key: RequestKey) -> Route {
-        let draws = (self.rng.usize(..), self.rng.usize(..));
-        let read = self.plan_read(key, draws).ok_or(NoRoute::Reject)?;
-        let admit = |endpoint, share| self.admit(read.request, endpoint, share);
-        let route = match self.choose_replica(&read) {
-            Some(replica) => admit(replica, 1.0),
-            None => self.choose_possibly_fresh(&read).and_then(|e| admit(e, 1.0).ok()).ok_or(NoRoute::Queue),
-        };
-        let primary = read.primary.filter(|p| read.untried.contains(p) && self.is_fit(&read, *p));
-        let route = route.or_else(|reason| primary.map_or(Err(reason), |p| admit(p, OVERFLOW_SHARE)));
-        route.or_else(|reason| match self.choose_ejected(&read) {
-            Some(endpoint) => admit(endpoint, 1.0),
-            None if read.untried.is_empty() => Err(NoRoute::Reject),
-            None => Err(reason),
-        })
-    }
-
-    fn plan_read(&self, key: RequestKey, draws: (usize, usize)) -> Option<Read<'_>> {
-        let request = self.requests.get(key)?;
-        let group = self.endpoints.groups.get(&request.group)?;
-        let consistency = self.class(request.class).consistency;
-        Some(Read {
+impl<'a> ReadRouter<'a> {
+    /// Looks at the group of a read; none if it is not known.
+    pub(super) fn new(
+        request: &'a PendingRequest,
+        cluster: &'a Cluster,
+        admission: &'a Admission,
+        slow_start: &'a SlowStart,
+        rng: &mut Rng,
+    ) -> Option<ReadRouter<'a>> {
+        let draws = PairOfDraws::draw(rng);
+        let group = cluster.group(request.group())?;
+        let consistency = cluster.class(request.class()).consistency;
+        let is_new = |endpoint: &EndpointKey| !request.has_tried(*endpoint);
+        let mut router = ReadRouter {
             request,
-            is_eventual: consistency == Consistency::Eventual,
-            needed: consistency.required_position(self.present_for_reads(self.now), request.session_token),
-            slow_start_share: self.read_slow_start_share(group),
+            cluster,
+            admission,
+            slow_start,
+            required: RequiredPosition::of(consistency, request.session_token(), cluster),
+            slow_start_share: slow_start.read_share(group, cluster),
             draws,
-            primary: group.primary,
-            untried: self.usable_endpoints(group).filter(|endpoint| !request.tried(*endpoint)).collect(),
-        })
+            primary: group.primary(),
+            candidates: cluster.usable_endpoints(group).filter(is_new).collect(),
+            fresh_replicas: Vec::new(),
+        };
+        router.fresh_replicas = router.replicas().filter(|replica| router.is_fresh(*replica)).collect();
+        Some(router)
+    }
+
+    /// The endpoint that gets the read, or why none does now.
+    pub(super) fn route(&self) -> Route {
+        let steps = [
+            ReadRouter::fresh_replica,
+            ReadRouter::possibly_fresh_replica,
+            ReadRouter::primary_with_spare_capacity,
+            ReadRouter::ejected_endpoint,
+        ];
+        let mut no_route = if self.candidates.is_empty() {
+            NoRoute::GiveUp(GiveUpReason::NoEndpoint)
+        } else {
+            NoRoute::Queue
+        };
+        for step in steps {
+            match step(self) {
+                Step::Chosen(endpoint) => return Ok(endpoint),
+                Step::NotAdmitted => no_route = NoRoute::GiveUp(GiveUpReason::NoCapacity),
+                Step::NoCandidate => {}
+            }
+        }
+        Err(no_route)
+    }
+
+    fn fresh_replica(&self) -> Step {
+        match self.choose_fresh_replica() {
+            Some(replica) => self.admit(replica, REPLICA_OBJECTIVE_SHARE),
+            None => Step::NoCandidate,
+        }
+    }
+
+    /// A replica that may be fresh: if it is not, it rejects the read without executing it. One that cannot
+    /// answer in time leaves the read in the queue for the primary.
+    fn possibly_fresh_replica(&self) -> Step {
+        if !self.fresh_replicas.is_empty() {
+            return Step::NoCandidate;
+        }
+        let may_take_it =
+            |replica: &EndpointKey| self.freshness(*replica) != Freshness::Stale && self.is_fit(*replica);
+        let candidates = self.replicas().filter(may_take_it);
+        let cost = |replica: &EndpointKey| (!self.cluster.is_local(*replica), self.cluster.load(*replica));
+        let Some(replica) = candidates.min_by_key(cost) else { return Step::NoCandidate };
+        match self.admit(replica, REPLICA_OBJECTIVE_SHARE) {
+            Step::NotAdmitted => Step::NoCandidate,
+            step => step,
+        }
     }
 
-    fn replicas<'a>(&self, read: &'a Read) -> impl Iterator<Item = EndpointKey> + 'a {
-        read.untried.iter().copied().filter(|endpoint| Some(*endpoint) != read.primary)
+    fn primary_with_spare_capacity(&self) -> Step {
+        let is_usable = |primary: &EndpointKey| self.candidates.contains(primary) && self.is_fit(*primary);
+        match self.primary.filter(is_usable) {
+            Some(primary) => self.admit(primary, PRIMARY_OBJECTIVE_SHARE),
+            None => Step::NoCandidate,
+        }
     }
 
-    fn is_fit(&self, read: &Read, endpoint: EndpointKey) -> bool {
-        let is_available =
-            self.is_healthy(endpoint) || self.endpoints[endpoint].health.is_trial_due(self.now);
-        is_available && self.slow_start_admits(read.request, endpoint, read.slow_start_share)
+    /// The last resort: an ejected endpoint that still answers some requests is better than a rejection.
+    fn ejected_endpoint(&self) -> Step {
+        let ejected = self.candidates.iter().copied().filter(|endpoint| self.is_usable_ejected(*endpoint));
+        let cost = |endpoint: &EndpointKey| {
+            let latency = self.admission.predicted_latency(*endpoint, self.request.class(), self.cluster);
+            self.ejection_end(*endpoint) + latency
+        };
+        match ejected.min_by_key(cost) {
+            Some(endpoint) => self.admit(endpoint, REPLICA_OBJECTIVE_SHARE),
+            None => Step::NoCandidate,
+        }
+    }
+
+    fn admit(&self, endpoint: EndpointKey, objective_share: f64) -> Step {
+        if self.admission.admits(self.request, endpoint, objective_share, self.cluster) {
+            Step::Chosen(endpoint)
+        } else {
+            Step::NotAdmitted
+        }
     }
 
-    /// Whether an endpoint that checks reads may be fresh without this being known: if its lag is unchanged,
-    /// if it has had as much time to catch up as its lag was, or if its position is unknown.
-    fn may_be_fresh(&self, read: &Read, endpoint: EndpointKey) -> bool {
-        let endpoint = &self.endpoints[endpoint];
-        let lag = endpoint.lag(&self.clock);
-        let has_caught_up = self.now - endpoint.log_position_at > lag;
-        let is_possible =
-            self.clock.likely(self.now) - lag >= read.needed || has_caught_up || lag.as_secs().is_nan();
-        self.settings.stale_reads.is_checked() && is_possible && self.now >= endpoint.stale_until
+    fn replicas(&self) -> impl Iterator<Item = EndpointKey> + '_ {
+        self.candidates.iter().copied().filter(|endpoint| Some(*endpoint) != self.primary)
+    }
+
+    /// Whether an endpoint may get requests, by its health and its slow start.
+    fn is_fit(&self, endpoint: EndpointKey) -> bool {
+        let is_available = self.cluster.is_healthy(endpoint) || self.cluster.is_trial_due(endpoint);
+        is_available && self.slow_start_admits(endpoint)
+    }
+
+    fn slow_start_admits(&self, endpoint: EndpointKey) -> bool {
+        self.slow_start.admits_read(self.request, endpoint, self.slow_start_share, self.cluster)
+    }
+
+    fn freshness(&self, endpoint: EndpointKey) -> Freshness {
+        freshness::freshness(self.cluster.endpoint(endpoint), self.required, self.cluster)
     }
 
     /// A local replica that may be fresh gets one read at a time, so that its log position becomes known.
-    fn is_fresh(&self, read: &Read, endpoint: EndpointKey) -> bool {
-        let state = &self.endpoints[endpoint];
-        let is_quiet = self.is_local(endpoint) && state.load.in_flight == 0;
-        let is_tried = is_quiet && self.may_be_fresh(read, endpoint);
-        (state.log_position >= read.needed || is_tried) && self.is_fit(read, endpoint)
+    fn is_fresh(&self, replica: EndpointKey) -> bool {
+        let is_idle = self.cluster.endpoint(replica).load().in_flight() == 0;
+        let is_fresh = match self.freshness(replica) {
+            Freshness::Fresh => true,
+            Freshness::PossiblyFresh => self.cluster.is_local(replica) && is_idle,
+            Freshness::Stale => false,
+        };
+        is_fresh && self.is_fit(replica)
     }
 
-    fn is_behind(&self, endpoint: EndpointKey) -> bool {
-        self.endpoints[endpoint].log_position < self.clock.likely(self.now) - self.shortest_staleness
+    fn is_behind(&self, replica: EndpointKey) -> bool {
+        freshness::is_behind(self.cluster.endpoint(replica), self.cluster)
     }
 
-    fn choose_replica(&self, read: &Read) -> Option<EndpointKey> {
-        let fresh: Vec<_> = self.replicas(read).filter(|endpoint| self.is_fresh(read, *endpoint)).collect();
-        let is_long = self.latency[read.request.class].mean > self.shortest_staleness;
-        if read.is_eventual && is_long && fresh.iter().any(|endpoint| self.is_behind(*endpoint)) {
-            return Some(self.choose_most_behind(read, fresh));
+    fn choose_fresh_replica(&self) -> Option<EndpointKey> {
+        if self.is_long_read() && self.fresh_replicas.iter().any(|replica| self.is_behind(*replica)) {
+            return Some(self.choose_most_behind());
         }
-        let (local, remote): (Vec<_>, Vec<_>) = fresh.into_iter().partition(|e| self.is_local(*e));
-        let Some(home) = self.choose_of_two(read, &local) else { return self.choose_of_two(read, &remote) };
-        let idlest = remote.into_iter().min_by_key(|endpoint| self.load(*endpoint));
-        Some(idlest.filter(|away| self.should_leave(home, *away)).unwrap_or(home))
+        let all = self.fresh_replicas.iter().copied();
+        let (local, remote): (Vec<_>, Vec<_>) = all.partition(|replica| self.cluster.is_local(*replica));
+        let Some(local_choice) = self.choose_of_two(&local) else { return self.choose_of_two(&remote) };
+        let least_loaded = remote.into_iter().min_by_key(|replica| self.cluster.load(*replica));
+        let remote_choice = least_loaded.filter(|remote| self.should_leave(local_choice, *remote));
+        Some(remote_choice.unwrap_or(local_choice))
     }
 
-    fn should_leave(&self, here: EndpointKey, there: EndpointKey) -> bool {
-        let (here, there) = (self.load(here), self.load(there));
-        here > EXIT_MULTIPLE * there && here >= there + EXIT_MARGIN
+    /// Whether the load of an endpoint is so much higher than that of another that a read goes there instead.
+    fn should_leave(&self, endpoint: EndpointKey, other: EndpointKey) -> bool {
+        let load = self.cluster.load(endpoint);
+        let other_load = self.cluster.load(other);
+        load > EXIT_MULTIPLE * other_load && load >= other_load + EXIT_MARGIN
     }
 
     /// The less loaded of two random replicas; on a tie, an eventual read leaves the fresh one to others.
-    fn choose_of_two(&self, read: &Read, from: &[EndpointKey]) -> Option<EndpointKey> {
-        let candidates = two_of(from.len(), read.draws)?.map(|index| from[index]);
-        candidates.into_iter().min_by_key(|e| (self.load(*e), read.is_eventual && !self.is_behind(*e)))
-    }
-
-    /// A long read can block the log of its replica. Such reads gather on the replica that is most behind,
-    /// and move from a busy one to the next most behind: a replica without load may be catching up.
-    fn choose_most_behind(&self, read: &Read, mut fresh: Vec<EndpointKey>) -> EndpointKey {
-        let position = |endpoint: &EndpointKey| self.endpoints[*endpoint].log_position;
-        fresh.sort_by_key(position);
-        let first_kept = fresh.windows(2).position(|pair| !self.should_leave(pair[0], pair[1]));
-        let candidates = &fresh[first_kept.unwrap_or(fresh.len() - 1)..];
-        // Only one more replica is tried, since long reads would delay the log of each of them.
-        let is_able = |e: &&EndpointKey| self.admit(read.request, **e, 1.0).is_ok();
-        *candidates.iter().take(2).find(is_able).unwrap_or(&candidates[0])
-    }
-
-    /// A replica that may be fresh: if it is not, it rejects the read without executing it.
-    fn choose_possibly_fresh(&self, read: &Read) -> Option<EndpointKey> {
-        let candidates = self.replicas(read).filter(|e| self.may_be_fresh(read, *e) && self.is_fit(read, *e));
-        candidates.min_by_key(|endpoint| (!self.is_local(*endpoint), self.load(*endpoint)))
-    }
-
-    /// The last resort: an ejected endpoint that still answers some requests is better than a rejection. One
-    /// that answers none is used only if there is no healthy one; one known to be behind, never.
-    fn choose_ejected(&self, read: &Read) -> Option<EndpointKey> {
-        let none_is_healthy = !read.untried.iter().any(|endpoint| self.is_healthy(*endpoint));
-        let lately = self.now - self.settings.connect_timeout * MAX_EJECTION;
-        let is_usable = |&endpoint: &EndpointKey| {
-            let state = &self.endpoints[endpoint];
-            let (health, is_primary) = (&state.health, Some(endpoint) == read.primary);
-            let is_fresh = state.log_position >= read.needed || self.may_be_fresh(read, endpoint);
-            let answers = state.last_response_at > lately.max(health.connect_failed_at) && !is_primary;
-            let failed_lately = self.now - health.connect_failed_at <= self.settings.connect_timeout;
-            let is_due = none_is_healthy && !health.trial_in_flight && !failed_lately;
-            let is_admitted = self.slow_start_admits(read.request, endpoint, read.slow_start_share);
-            health.is_ejected && (is_fresh || is_primary) && (is_due || answers) && is_admitted
+    fn choose_of_two(&self, replicas: &[EndpointKey]) -> Option<EndpointKey> {
+        let pair = self.draws.places(replicas.len())?.map(|place| replicas[place]);
+        let cost = |replica: &EndpointKey| {
+            (self.cluster.load(*replica), self.is_eventual() && !self.is_behind(*replica))
         };
-        let until = |endpoint: EndpointKey| -> LocalInstant {
-            self.endpoints[endpoint].health.ejected_until.max(self.now)
+        pair.into_iter().min_by_key(cost)
+    }
+
+    fn is_eventual(&self) -> bool {
+        self.cluster.class(self.request.class()).consistency == Consistency::Eventual
+    }
+
+    /// Whether it is of a class whose reads take so long that they can block the log of a replica.
+    fn is_long_read(&self) -> bool {
+        let mean_latency = self.admission.latency(self.request.class()).mean();
+        self.is_eventual() && mean_latency > self.cluster.shortest_staleness()
+    }
+
+    /// Long reads gather on the replica that is most behind, and move from a busy one to the next most
+    /// behind: a replica without load may be catching up.
+    fn choose_most_behind(&self) -> EndpointKey {
+        let mut by_position = self.fresh_replicas.clone();
+        by_position.sort_by_key(|replica| self.cluster.endpoint(*replica).log_position());
+        let is_busy = |pair: &[EndpointKey]| self.should_leave(pair[0], pair[1]);
+        let first_not_busy = by_position.windows(2).position(|pair| !is_busy(pair));
+        let candidates = &by_position[first_not_busy.unwrap_or(by_position.len() - 1)..];
+        let is_admitted = |replica: &&EndpointKey| {
+            matches!(self.admit(**replica, REPLICA_OBJECTIVE_SHARE), Step::Chosen(_))
         };
-        let cost = |e: &EndpointKey| until(*e) + self.predicted_latency(*e, read.request.class);
-        read.untried.iter().copied().filter(is_usable).min_by_key(cost)
+        let chosen = candidates.iter().take(MAX_CANDIDATES_FOR_LONG_READ).find(is_admitted);
+        *chosen.unwrap_or(&candidates[0])
+    }
+
+    /// Whether an ejected endpoint may get the read: one that still answers other requests; or one that
+    /// answers none, if there is no healthy one. One that is known to be behind may not.
+    fn is_usable_ejected(&self, endpoint: EndpointKey) -> bool {
+        let is_primary = Some(endpoint) == self.primary;
+        let is_recent = is_primary || self.freshness(endpoint) != Freshness::Stale;
+        let may_answer = self.is_retry_due(endpoint) || !is_primary && self.has_answered_recently(endpoint);
+        let is_ejected = !self.cluster.is_healthy(endpoint);
+        is_ejected && is_recent && may_answer && self.slow_start_admits(endpoint)
+    }
+
+    /// Whether it has answered a request in the time of the longest ejection, and since its last failure to
+    /// connect.
+    fn has_answered_recently(&self, endpoint: EndpointKey) -> bool {
+        let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION;
+        let state = self.cluster.endpoint(endpoint);
+        let since = Some(self.cluster.now() - longest_ejection).max(state.health().connect_failed_at());
+        state.last_response_at() > since
+    }
+
+    /// Whether an ejected endpoint may be tried before its time, since no endpoint is healthy.
+    fn is_retry_due(&self, endpoint: EndpointKey) -> bool {
+        let none_is_healthy = !self.candidates.iter().any(|other| self.cluster.is_healthy(*other));
+        let health = self.cluster.endpoint(endpoint).health();
+        let connect_timeout = self.cluster.settings().connect_timeout;
+        let has_just_failed = health
+            .connect_failed_at()
+            .is_some_and(|failed_at| self.cluster.now() - failed_at <= connect_timeout);
+        none_is_healthy && !health.is_trial_in_flight() && !has_just_failed
+    }
+
+    fn ejection_end(&self, endpoint: EndpointKey) -> LocalInstant {
+        let until = self.cluster.endpoint(endpoint).health().ejected_until();
+        until.map_or(self.cluster.now(), |until| until.max(self.cluster.now()))
     }
 }
--- /dev/null
+++ b/src/policy/retry.rs
@@ -0,0 +1,235 @@
+//! Retries: whether a request may be sent once more, and until when.
+//!
+//! A request may have another attempt while all of this holds:
+//!
+//! - fewer attempts are in flight than the settings allow: one, or two where requests are hedged;
+//! - fewer attempts were made than `max_attempts`;
+//! - no earlier attempt may have been executed, or a repeat is harmless: the class is idempotent, or its
+//!   requests carry an idempotency key and the deduplication window of the first such attempt is still open;
+//! - the final answer is not due, and an answer would still be of use;
+//! - the [`RetryBudget`] has a token, if the earlier attempt may have been executed.
+//!
+//! The budget is the one of Finagle and tower: each request deposits a fraction of a token and each retry
+//! withdraws one, so that retries stay a small share of the requests. Retries of what was not executed cost
+//! nothing: the endpoint did no work for them.
+
+use super::cluster::Cluster;
+use super::give_up::GiveUpReason;
+use super::latency::LatencyEstimator;
+use super::request::PendingRequest;
+use super::token_bucket::TokenBucket;
+use crate::interface::Outcome;
+use crate::settings::{Consistency, DeduplicationScope, Idempotency, RequestClass, Settings};
+use crate::time::{LocalInstant, Span};
+
+/// Retry tokens that each request deposits: 10% more attempts cannot amplify an overload.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Largest retry budget: enough for the requests that one lost endpoint had in flight.
+const MAX_RETRIES: f64 = 20.0;
+/// Share of the largest retry budget with which a pooler starts.
+const INITIAL_RETRIES_SHARE: f64 = 0.5;
+/// How long the process may be suspended between a decision and the write that follows from it.
+const MAX_PROCESS_PAUSE: Span = Span::from_secs(0.15);
+/// An attempt that has been replaced so many times is left alone.
+const MAX_REPLACED_ATTEMPTS: usize = 3;
+
+/// The retries that may be sent of requests that may have been executed.
+pub(super) struct RetryBudget {
+    tokens: TokenBucket,
+}
+
+impl RetryBudget {
+    /// A budget to begin with.
+    pub(super) fn new() -> RetryBudget {
+        RetryBudget { tokens: TokenBucket::new(MAX_RETRIES * INITIAL_RETRIES_SHARE, MAX_RETRIES) }
+    }
+
+    /// Adds what one request earns.
+    pub(super) fn deposit(&mut self) {
+        self.tokens.deposit(RETRIES_PER_REQUEST);
+    }
+
+    /// Takes one retry. Returns whether it was there.
+    pub(super) fn withdraw(&mut self) -> bool {
+        self.tokens.try_withdraw()
+    }
+
+    fn has_retry(&self) -> bool {
+        self.tokens.has_token()
+    }
+}
+
+/// Why a request may not have another attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum NoAttempt {
+    /// As many attempts are in flight as the settings allow.
+    InFlight,
+    /// All attempts that the settings allow were made.
+    NoneLeft,
+    /// An earlier attempt may have been executed, and a repeat could take effect twice.
+    MayTakeEffectTwice,
+}
+
+/// Until when a request may be repeated that may have been executed.
+enum RepeatLimit {
+    Always,
+    Until(LocalInstant),
+    Never,
+}
+
+/// Whether a request may have one more attempt now. Returns the time by which that must be answered: the
+/// deadline, or the end of the deduplication window if that is earlier.
+pub(super) fn next_attempt(request: &PendingRequest, cluster: &Cluster) -> Result<LocalInstant, NoAttempt> {
+    let settings = cluster.settings();
+    if request.attempts_in_flight() >= settings.max_attempts_in_flight() {
+        return Err(NoAttempt::InFlight);
+    }
+    if request.attempts().len() >= settings.max_attempts as usize {
+        return Err(NoAttempt::NoneLeft);
+    }
+    let Some(first_sent_at) = request.may_have_run_since() else { return Ok(request.deadline()) };
+    match repeat_limit(cluster.class(request.class()), first_sent_at) {
+        RepeatLimit::Always => Ok(request.deadline()),
+        RepeatLimit::Until(window_end) => answer_within_window(request, window_end, cluster),
+        RepeatLimit::Never => Err(NoAttempt::MayTakeEffectTwice),
+    }
+}
+
+/// A repeat must reach its endpoint within the deduplication window: neither the time to connect nor a
+/// pause of the process may delay it until later.
+fn answer_within_window(
+    request: &PendingRequest,
+    window_end: LocalInstant,
+    cluster: &Cluster,
+) -> Result<LocalInstant, NoAttempt> {
+    let reserve = cluster.settings().connect_timeout.max(MAX_PROCESS_PAUSE);
+    if cluster.now() >= window_end - reserve {
+        return Err(NoAttempt::MayTakeEffectTwice);
+    }
+    Ok(request.deadline().min(window_end - MAX_PROCESS_PAUSE))
+}
+
+fn repeat_limit(class: &RequestClass, first_sent_at: LocalInstant) -> RepeatLimit {
+    match class.idempotency {
+        Idempotency::Idempotent => RepeatLimit::Always,
+        Idempotency::IdempotencyKey => RepeatLimit::Until(first_sent_at + class.deduplication_window),
+        Idempotency::NonIdempotent => RepeatLimit::Never,
+    }
+}
+
+/// Whether a request without attempts in flight may be sent now, or why it has to be given up.
+pub(super) fn check_dispatch(request: &PendingRequest, cluster: &Cluster) -> Result<(), GiveUpReason> {
+    next_attempt(request, cluster).map_err(GiveUpReason::NoAttempt)?;
+    let useful_until = request.useful_until(cluster.class(request.class()));
+    if cluster.now() >= useful_until {
+        return Err(GiveUpReason::NoUsefulAnswer);
+    }
+    if is_answer_due(request, cluster) {
+        return Err(GiveUpReason::Deadline);
+    }
+    Ok(())
+}
+
+/// The final answer is due a tick before the deadline: nothing that is sent then could be answered in time.
+fn is_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
+    cluster.now() + cluster.settings().tick >= request.deadline()
+}
+
+/// Whether a request may be retried after an attempt that ended in this way. Takes a retry from the budget
+/// if it may have been executed.
+pub(super) fn check_retry(
+    outcome: Outcome,
+    is_at_primary: bool,
+    budget: &mut RetryBudget,
+) -> Result<(), GiveUpReason> {
+    // An overloaded primary cannot be replaced: a retry would find it as overloaded.
+    if is_at_primary && outcome == Outcome::Overloaded {
+        return Err(GiveUpReason::PrimaryOverloaded);
+    }
+    if !outcome.proves_not_executed() && !budget.withdraw() {
+        return Err(GiveUpReason::NoRetryBudget);
+    }
+    Ok(())
+}
+
+/// Whether a queued request may be sent to find out which endpoint is the primary: a write that was not
+/// executed, since an endpoint that is not the primary rejects it without executing it.
+pub(super) fn may_discover_primary(request: &PendingRequest, cluster: &Cluster) -> bool {
+    let is_write = cluster.class(request.class()).is_write();
+    let is_unexecuted = request.may_have_run_since().is_none() && next_attempt(request, cluster).is_ok();
+    is_write && is_unexecuted && !request.is_finished() && !is_answer_due(request, cluster)
+}
+
+/// What an attempt that takes too long shows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Delay {
+    /// The endpoint has answered nothing since the attempt was sent.
+    pub(super) is_endpoint_silent: bool,
+    /// The endpoint has long answered later attempts: this answer is lost.
+    pub(super) is_answer_lost: bool,
+}
+
+/// What replaces an attempt that takes too long.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Replacement {
+    /// A second attempt beside it: a hedged request.
+    Hedge,
+    /// It is cancelled, which leads to a retry.
+    CancelAndRetry,
+}
+
+/// How an attempt that takes too long is to be replaced, if that is safe, is allowed and could still be
+/// answered in time.
+pub(super) fn replacement(
+    request: &PendingRequest,
+    number: usize,
+    delay: Delay,
+    class_latency: &LatencyEstimator,
+    budget: &RetryBudget,
+    cluster: &Cluster,
+) -> Option<Replacement> {
+    let class = cluster.class(request.class());
+    let is_safe = class.idempotency == Idempotency::Idempotent || delay.is_answer_lost;
+    let is_last = request.attempts().len() == number + 1 && number < MAX_REPLACED_ATTEMPTS;
+    let is_in_time = has_time_to_replace(request, delay, class_latency.mean(), cluster);
+    if !is_in_time || !is_safe || !is_last || !budget.has_retry() {
+        return None;
+    }
+    if is_hedged(class, cluster.settings()) {
+        return next_attempt(request, cluster).is_ok().then_some(Replacement::Hedge);
+    }
+    let may_cancel = cluster.settings().cancellation && (delay.is_endpoint_silent || delay.is_answer_lost);
+    may_cancel.then_some(Replacement::CancelAndRetry)
+}
+
+/// Only a lost answer is worth replacing after the latency objective: any other may still come.
+fn has_time_to_replace(
+    request: &PendingRequest,
+    delay: Delay,
+    mean_latency: Span,
+    cluster: &Cluster,
+) -> bool {
+    let class = cluster.class(request.class());
+    let useful_until =
+        if delay.is_answer_lost { request.useful_until(class) } else { request.objective_at() };
+    useful_until - cluster.now() > mean_latency
+}
+
+/// Strong reads are not hedged: only the primary answers them.
+fn is_hedged(class: &RequestClass, settings: &Settings) -> bool {
+    settings.hedging && class.consistency != Consistency::Strong
+}
+
+/// Whether its client may send a request again that the pooler has given up.
+pub(super) fn may_client_retry(request: &PendingRequest, class: &RequestClass) -> bool {
+    let is_harmless = match class.idempotency {
+        Idempotency::Idempotent => true,
+        // The client's retry may reach an endpoint that does not share the keys of this group.
+        Idempotency::IdempotencyKey => class.deduplication_scope == DeduplicationScope::AnyEndpoint,
+        Idempotency::NonIdempotent => false,
+    };
+    is_harmless || request.may_have_run_since().is_none()
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/policy/session.rs
@@ -0,0 +1,102 @@
+//! Read-your-writes consistency: the log position that the reads of a session have to see.
+//!
+//! Clients carry the age of their session's last write with each read, or the pooler remembers the commits of
+//! each session, as the settings say. Where it cannot know of a write, any session may have written.
+
+use std::sync::Arc;
+
+use super::cluster::Cluster;
+use super::freshness::{self, RequiredPosition};
+use super::request::PendingRequest;
+use super::request_table::RequestTable;
+use super::session_table::SessionTable;
+use crate::interface::{AttemptResult, Outcome, Request};
+use crate::settings::Consistency;
+use crate::time::{LocalInstant, LogPosition, Span};
+
+/// Number of remembered writes; a forgotten session counts as having written when the latest of them did.
+const MAX_SESSION_WRITES: usize = 20_000;
+/// Age after which a write is forgotten, far beyond the lag of any replica.
+const MAX_SESSION_AGE: Span = Span::from_secs(60.0);
+
+/// What the pooler knows of the writes of sessions.
+#[derive(Default)]
+pub(super) struct Sessions {
+    commits: SessionTable,
+    /// Any session may have written until then, although no write of it is remembered.
+    unknown_writes_until: Option<LocalInstant>,
+}
+
+impl Sessions {
+    /// Notes that writes until now are not known, as after a restart.
+    pub(super) fn forget_everything_until(&mut self, now: LocalInstant) {
+        self.unknown_writes_until = Some(now);
+    }
+
+    /// The position that a request has to see as a read of its session. `pending` are the requests in
+    /// progress.
+    pub(super) fn token(
+        &self,
+        request: &Request,
+        pending: &RequestTable,
+        cluster: &Cluster,
+    ) -> RequiredPosition {
+        if cluster.class(request.class).consistency != Consistency::Session {
+            return RequiredPosition::Any;
+        }
+        if cluster.settings().session_tokens_carried {
+            return carried_token(request, cluster.now());
+        }
+        // A write of the session that is in flight may have been executed already.
+        if has_write_in_flight(request.session.as_ref(), pending, cluster) {
+            return freshness::present(cluster, cluster.now());
+        }
+        let remembered = RequiredPosition::from(self.commits.last_commit(request.session.as_ref()));
+        match self.unknown_writes_until {
+            Some(until) => remembered.max(freshness::present(cluster, until)),
+            None => remembered,
+        }
+    }
+
+    /// Remembers the commit of a write. One whose commit is unknown was committed before now at the latest.
+    pub(super) fn remember_write(
+        &mut self,
+        request: &PendingRequest,
+        result: &AttemptResult,
+        cluster: &Cluster,
+    ) {
+        let is_write = cluster.class(request.class()).is_write() && !result.outcome.proves_not_executed();
+        if cluster.settings().session_tokens_carried || !is_write {
+            return;
+        }
+        let Some(session) = request.session() else { return };
+        let latest = freshness::present(cluster, cluster.now());
+        match reported_commit(result, cluster).map_or(latest, RequiredPosition::AtLeast) {
+            RequiredPosition::AtLeast(commit) => self.commits.remember(session.clone(), commit),
+            // The clock of the endpoints is not known yet.
+            RequiredPosition::Any | RequiredPosition::Unknown => {
+                self.unknown_writes_until = Some(cluster.now());
+            }
+        }
+        self.commits.forget(MAX_SESSION_WRITES, cluster.likely_now() - MAX_SESSION_AGE);
+    }
+}
+
+/// The token that a client carries with a read, dated by the pooler's clock.
+fn carried_token(request: &Request, now: LocalInstant) -> RequiredPosition {
+    let written_at = request.session_token_age.map(|age| now - age);
+    RequiredPosition::from(written_at.map(|instant| instant.to_cluster(Span::ZERO)))
+}
+
+fn has_write_in_flight(session: Option<&Arc<str>>, pending: &RequestTable, cluster: &Cluster) -> bool {
+    pending.iter().any(|(_, other)| {
+        let is_write = cluster.class(other.class()).is_write();
+        other.session() == session && is_write && !other.has_reached_no_endpoint()
+    })
+}
+
+/// The commit that an endpoint reported for a write.
+fn reported_commit(result: &AttemptResult, cluster: &Cluster) -> Option<LogPosition> {
+    let position = result.log_position.filter(|_| result.outcome == Outcome::Success)?;
+    cluster.clock().is_credible(position, cluster.now()).then_some(position)
+}
--- /dev/null
+++ b/src/policy/session_table.rs
@@ -0,0 +1,63 @@
+//! The last commits of sessions.
+
+use std::collections::{HashMap, VecDeque};
+use std::sync::Arc;
+
+use crate::time::LogPosition;
+
+/// A write of a session that is remembered.
+struct RememberedWrite {
+    session: Arc<str>,
+    commit: LogPosition,
+}
+
+/// The last commit of each session that wrote recently.
+#[derive(Default)]
+pub(super) struct SessionTable {
+    last_commits: HashMap<Arc<str>, LogPosition>,
+    /// Every write, in the order in which they were remembered.
+    writes: VecDeque<RememberedWrite>,
+    /// Sessions that are not in the table may have written until then.
+    forgotten_until: Option<LogPosition>,
+}
+
+impl SessionTable {
+    /// The latest commit that a session may have made.
+    pub(super) fn last_commit(&self, session: Option<&Arc<str>>) -> Option<LogPosition> {
+        let known = session.and_then(|session| self.last_commits.get(session));
+        known.copied().or(self.forgotten_until)
+    }
+
+    /// Remembers a commit.
+    pub(super) fn remember(&mut self, session: Arc<str>, commit: LogPosition) {
+        let last = self.last_commits.entry(session.clone()).or_insert(commit);
+        *last = commit.max(*last);
+        self.writes.push_back(RememberedWrite { session, commit });
+    }
+
+    /// Forgets the oldest writes, down to so many and those since `horizon`.
+    pub(super) fn forget(&mut self, max_writes: usize, horizon: LogPosition) {
+        while let Some(oldest) = self.writes.front() {
+            if self.writes.len() <= max_writes && oldest.commit >= horizon {
+                break;
+            }
+            self.forget_oldest();
+        }
+    }
+
+    fn forget_oldest(&mut self) {
+        let Some(RememberedWrite { session, commit }) = self.writes.pop_front() else { return };
+        if self.last_commits.get(&session).is_some_and(|last| *last <= commit) {
+            self.last_commits.remove(&session);
+            self.assume_writes_until(commit);
+        }
+    }
+
+    /// From now on any session that is not known may have written until this time.
+    fn assume_writes_until(&mut self, time: LogPosition) {
+        self.forgotten_until = self.forgotten_until.max(Some(time));
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/state/tests/session_table.rs
+++ b/src/policy/session_table/tests.rs
@@ -1,8 +1,4 @@
-//! The last commits of sessions.
-
-use std::sync::Arc;
-
-use crate::state::SessionTable;
+use super::*;
 use crate::time::tests::cluster;
 
 fn session(name: &str) -> Arc<str> {
@@ -12,8 +8,8 @@
 #[test]
 fn a_session_without_a_write_has_seen_nothing() {
     let table = SessionTable::default();
-    assert_eq!(table.last_commit(Some(&session("a"))), cluster(f64::NEG_INFINITY));
-    assert_eq!(table.last_commit(None), cluster(f64::NEG_INFINITY));
+    assert_eq!(table.last_commit(Some(&session("a"))), None);
+    assert_eq!(table.last_commit(None), None);
 }
 
 #[test]
@@ -21,7 +17,7 @@
     let mut table = SessionTable::default();
     table.remember(session("a"), cluster(2.0));
     table.remember(session("a"), cluster(1.0));
-    assert_eq!(table.last_commit(Some(&session("a"))), cluster(2.0));
+    assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(2.0)));
 }
 
 #[test]
@@ -31,9 +27,9 @@
     table.remember(session("b"), cluster(2.0));
     table.remember(session("c"), cluster(3.0));
     table.forget(1, cluster(0.0));
-    assert_eq!(table.last_commit(Some(&session("c"))), cluster(3.0));
-    assert_eq!(table.last_commit(Some(&session("a"))), cluster(2.0));
-    assert_eq!(table.last_commit(Some(&session("never heard of"))), cluster(2.0));
+    assert_eq!(table.last_commit(Some(&session("c"))), Some(cluster(3.0)));
+    assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(2.0)));
+    assert_eq!(table.last_commit(Some(&session("never heard of"))), Some(cluster(2.0)));
 }
 
 #[test]
@@ -42,8 +38,8 @@
     table.remember(session("a"), cluster(1.0));
     table.remember(session("b"), cluster(2.0));
     table.forget(100, cluster(1.5));
-    assert_eq!(table.last_commit(Some(&session("a"))), cluster(1.0), "the floor for unknown sessions");
-    assert_eq!(table.last_commit(Some(&session("b"))), cluster(2.0));
+    assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(1.0)), "the floor for unknown sessions");
+    assert_eq!(table.last_commit(Some(&session("b"))), Some(cluster(2.0)));
 }
 
 #[test]
@@ -52,8 +48,8 @@
     table.remember(session("a"), cluster(1.0));
     table.remember(session("a"), cluster(2.0));
     table.forget(1, cluster(0.0));
-    assert_eq!(table.last_commit(Some(&session("a"))), cluster(2.0));
-    assert_eq!(table.last_commit(Some(&session("b"))), cluster(f64::NEG_INFINITY));
+    assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(2.0)));
+    assert_eq!(table.last_commit(Some(&session("b"))), None);
 }
 
 #[test]
@@ -61,5 +57,5 @@
     let mut table = SessionTable::default();
     table.assume_writes_until(cluster(5.0));
     table.assume_writes_until(cluster(4.0));
-    assert_eq!(table.last_commit(Some(&session("a"))), cluster(5.0));
+    assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(5.0)));
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,24 @@
-//! Slow start: limits the load of endpoints that are warming up.
+//! Slow start: limits what an endpoint that is warming up may get.
+//!
+//! An endpoint that has just started has only a share of its capacity, and collapses under more than a
+//! multiple of that, the overload limit, kept up for the overload window. Poolers do not communicate, so
+//! each one limits its own part in two ways:
+//!
+//! - A share of all requests: each request carries a number drawn once, and only requests whose number lies
+//!   below the share may go to the endpoint. Hundreds of poolers respect a share together.
+//! - A budget: a token bucket for each such endpoint, which is refilled at the rate that the pooler usually
+//!   has of the group's traffic times the overload limit. It holds in a burst, where a share would be too
+//!   much.
 
-use super::Policy;
-use crate::state::{EndpointKey, Group, PendingRequest, SlowStartBudget};
-use crate::time::Span;
+use std::collections::BTreeMap;
+
+use super::cluster::Cluster;
+use super::endpoint_table::EndpointKey;
+use super::event_rate::EventRate;
+use super::group::Group;
+use super::request::PendingRequest;
+use super::token_bucket::TokenBucket;
+use crate::time::{LocalInstant, Span};
 
 /// Upper limit of the share of reads for an endpoint that is warming up, in multiples of its capacity ...
 const MAX_READ_SHARE: f64 = 1.0;
@@ -12,92 +28,160 @@
 const PRIMARY_SHARE_OF_LIMIT: f64 = 0.5;
 /// Share of the overload limit for all requests together, in a burst: the capacity grows meanwhile.
 const BUDGET_SHARE_OF_LIMIT: f64 = 0.85;
-/// Stands for no limit at all, which settings may leave out.
+/// Stands for an overload limit that the settings leave out, where a rate is computed from it.
 const MAX_OVERLOAD_LIMIT: f64 = 1e6;
 /// What an endpoint may get at once, as a share of what it may get while it withstands an overload.
 const BURST_SHARE: f64 = 0.1;
-/// Time over which the usual rate of requests is taken (seconds): far longer than a burst.
+/// Tokens in the budget of an endpoint that has just started.
+const INITIAL_BUDGET: f64 = 1.0;
+/// Time over which the usual rate of requests is taken: far longer than a burst.
 const USUAL_RATE_TIME: Span = Span::from_secs(60.0);
 /// A burst counts towards the usual rate by this multiple of what is usual, so that traffic which has grown
 /// for good becomes usual in some minutes.
 const USUAL_RATE_GROWTH: f64 = 1.1;
+/// Weight of a new sample in the share of reads, which changes slowly: about fifty requests.
+const READ_SHARE_WEIGHT: f64 = 0.02;
+
+/// How often requests for a group are received.
+#[derive(Default)]
+struct GroupTraffic {
+    present_rate: EventRate,
+    usual_rate: EventRate,
+}
 
-impl Policy {
-    fn capacity(&self, endpoint: EndpointKey) -> f64 {
-        let uptime = self.endpoints[endpoint].min_uptime(&self.clock, self.now);
-        uptime.map_or(1.0, |uptime| self.settings.capacity_after(uptime))
+impl GroupTraffic {
+    /// Counts a request. The rates are taken before it: with the request itself, they would be too high
+    /// wherever requests are rare.
+    fn record(&mut self, now: LocalInstant, overload_window: Span) {
+        let present = self.present_rate.per_second(now, overload_window);
+        let usual = self.usual_rate.per_second(now, USUAL_RATE_TIME);
+        let is_burst = present > usual * USUAL_RATE_GROWTH;
+        let weight = if is_burst { usual * USUAL_RATE_GROWTH / present } else { 1.0 };
+        self.present_rate.record(1.0, now, overload_window);
+        self.usual_rate.record(weight, now, USUAL_RATE_TIME);
     }
+}
+
+/// What endpoints that are warming up may get, and the traffic from which this is computed.
+pub(super) struct SlowStart {
+    /// Running share of the requests that a replica may answer.
+    read_share: f64,
+    traffic: BTreeMap<u32, GroupTraffic>,
+    /// The budget of each endpoint; one that has none yet has [`INITIAL_BUDGET`].
+    budgets: Vec<TokenBucket>,
+}
 
-    /// Whether an endpoint that is warming up may get this request, at most once. The request's sampling draw
-    /// admits a share of all requests, so that hundreds of poolers respect the limit together. In a burst the
-    /// share would be too much: this pooler's part of the limit counts as well.
-    pub(super) fn slow_start_admits(&self, request: &PendingRequest, to: EndpointKey, share: f64) -> bool {
-        let capacity = self.capacity(to);
-        let is_sampled = request.sampling_draw < share * capacity && !request.tried(to);
-        capacity >= 1.0 || is_sampled && self.slow_start_budget(to).allows_request()
+impl SlowStart {
+    /// Limits that know of no traffic yet.
+    pub(super) fn new() -> SlowStart {
+        SlowStart { read_share: 1.0, traffic: BTreeMap::new(), budgets: Vec::new() }
     }
 
-    /// Notes that a request is sent to an endpoint, which may be warming up.
-    pub(super) fn spend_slow_start_budget(&mut self, to: EndpointKey) {
-        if self.capacity(to) < 1.0 {
-            let mut budget = self.slow_start_budget(to);
-            budget.spend();
-            self.endpoints[to].slow_start = budget;
+    /// Counts a request that was received for a group.
+    pub(super) fn record_request(&mut self, group: u32, needs_primary: bool, cluster: &Cluster) {
+        let is_read = f64::from(u8::from(!needs_primary));
+        self.read_share += READ_SHARE_WEIGHT * (is_read - self.read_share);
+        if cluster.group(group).is_some() {
+            let traffic = self.traffic.entry(group).or_default();
+            traffic.record(cluster.now(), cluster.settings().overload_window);
         }
     }
 
-    /// What an endpoint may get from this pooler by now: its overload limit, of which the pooler has the part
-    /// that it usually has of the group's traffic.
-    fn slow_start_budget(&self, endpoint: EndpointKey) -> SlowStartBudget {
-        let state = &self.endpoints[endpoint];
-        let usual_rate = self.usual_endpoint_rate(state.group);
-        let limit =
-            self.settings.overload_limit.map_or(MAX_OVERLOAD_LIMIT, |limit| limit.min(MAX_OVERLOAD_LIMIT))
-                * BUDGET_SHARE_OF_LIMIT;
-        let per_second = limit * self.capacity(endpoint) * usual_rate;
-        let most = 1.0 + per_second * self.settings.overload_window.as_secs() * BURST_SHARE;
-        let mut budget = state.slow_start;
-        budget.earn(per_second, most, self.now);
-        budget
+    /// Forgets the traffic of groups that are not known any more.
+    pub(super) fn forget_groups(&mut self, cluster: &Cluster) {
+        self.traffic.retain(|group, _| cluster.group(*group).is_some());
     }
 
-    /// The requests per second that an endpoint of a group usually gets from this pooler at its full
-    /// capacity, as the traffic of the group tells: an equal part of it, or all that needs the primary.
-    fn usual_endpoint_rate(&self, group: u32) -> f64 {
-        let Some(group) = self.endpoints.groups.get(&group) else { return 0.0 };
-        let equal_part = 1.0 / self.group_capacity(group).max(1.0);
-        let part = equal_part.max(1.0 - self.read_share);
-        part * group.usual_rate.per_second(self.now, USUAL_RATE_TIME)
+    /// Gives an endpoint that has started its first budget.
+    pub(super) fn endpoint_started(&mut self, endpoint: EndpointKey) {
+        if let Some(budget) = self.budgets.get_mut(endpoint) {
+            *budget = TokenBucket::full(INITIAL_BUDGET);
+        }
     }
 
-    /// Counts a request that was received for a group. The rates are taken before it: with the request
-    /// itself, they would be too high wherever requests are rare.
-    pub(super) fn count_group_request(&mut self, group: u32) {
-        let (now, overload_window) = (self.now, self.settings.overload_window);
-        let Some(group) = self.endpoints.groups.get_mut(&group) else { return };
-        group.last_request_at = now;
-        let present = group.present_rate.per_second(now, overload_window);
-        let usual = group.usual_rate.per_second(now, USUAL_RATE_TIME);
-        let is_burst = present > usual * USUAL_RATE_GROWTH;
-        let weight = if is_burst { usual * USUAL_RATE_GROWTH / present } else { 1.0 };
-        group.present_rate.record(1.0, now, overload_window);
-        group.usual_rate.record(weight, now, USUAL_RATE_TIME);
+    /// Whether an endpoint that may be warming up may get this read, at most once. `share` is that of its
+    /// group, see [`read_share`](Self::read_share).
+    pub(super) fn admits_read(
+        &self,
+        request: &PendingRequest,
+        to: EndpointKey,
+        share: f64,
+        cluster: &Cluster,
+    ) -> bool {
+        let capacity = capacity(to, cluster);
+        capacity >= 1.0 || self.admits_share(request, to, share * capacity, cluster)
     }
 
-    /// The same for a request that needs the primary.
-    pub(super) fn slow_start_admits_to_primary(&self, request: &PendingRequest, to: EndpointKey) -> bool {
-        let limit = self.settings.overload_limit.unwrap_or(f64::INFINITY);
-        self.slow_start_admits(request, to, limit * PRIMARY_SHARE_OF_LIMIT)
+    /// Whether a primary that may be warming up may get this request, at most once.
+    pub(super) fn admits_to_primary(
+        &self,
+        request: &PendingRequest,
+        to: EndpointKey,
+        cluster: &Cluster,
+    ) -> bool {
+        let capacity = capacity(to, cluster);
+        let limit = cluster.settings().overload_limit.unwrap_or(f64::INFINITY);
+        let share = limit * PRIMARY_SHARE_OF_LIMIT * capacity;
+        capacity >= 1.0 || self.admits_share(request, to, share, cluster)
     }
 
-    /// Share of a group's reads, in multiples of an endpoint's capacity: its limit over the group's capacity.
-    pub(super) fn read_slow_start_share(&self, group: &Group) -> f64 {
-        let reads = self.group_capacity(group).max(1.0) * self.read_share;
-        (self.settings.overload_limit.unwrap_or(f64::INFINITY) * READ_SHARE_OF_LIMIT / reads)
-            .min(MAX_READ_SHARE)
+    fn admits_share(&self, request: &PendingRequest, to: EndpointKey, share: f64, cluster: &Cluster) -> bool {
+        let is_sampled = request.sampling_draw() < share && !request.has_tried(to);
+        is_sampled && self.budget(to, cluster).has_token()
     }
 
-    fn group_capacity(&self, group: &Group) -> f64 {
-        self.usable_endpoints(group).map(|endpoint| self.capacity(endpoint)).sum()
+    /// Share of a group's reads that an endpoint in slow start may get, in multiples of its capacity: its
+    /// overload limit over the capacity of the group.
+    pub(super) fn read_share(&self, group: &Group, cluster: &Cluster) -> f64 {
+        let Some(limit) = cluster.settings().overload_limit else { return MAX_READ_SHARE };
+        let reads = group_capacity(group, cluster).max(1.0) * self.read_share;
+        (limit * READ_SHARE_OF_LIMIT / reads).min(MAX_READ_SHARE)
     }
+
+    /// Spends the budget of an endpoint on a request that is sent to it, if it is warming up. The trial of an
+    /// ejected endpoint needs no budget, but uses it.
+    pub(super) fn spend(&mut self, to: EndpointKey, cluster: &Cluster) {
+        if capacity(to, cluster) >= 1.0 {
+            return;
+        }
+        let mut budget = self.budget(to, cluster);
+        budget.overdraw();
+        if self.budgets.len() <= to {
+            self.budgets.resize(to + 1, TokenBucket::full(INITIAL_BUDGET));
+        }
+        self.budgets[to] = budget;
+    }
+
+    /// What an endpoint may get from this pooler by now: its overload limit, of which the pooler has the part
+    /// that it usually has of the group's traffic.
+    fn budget(&self, endpoint: EndpointKey, cluster: &Cluster) -> TokenBucket {
+        let settings = cluster.settings();
+        let limit = settings.overload_limit.map_or(MAX_OVERLOAD_LIMIT, |limit| limit.min(MAX_OVERLOAD_LIMIT));
+        let usual_rate = self.usual_endpoint_rate(cluster.endpoint(endpoint).group(), cluster);
+        let per_second = limit * BUDGET_SHARE_OF_LIMIT * capacity(endpoint, cluster) * usual_rate;
+        let most = 1.0 + per_second * settings.overload_window.as_secs() * BURST_SHARE;
+        let mut budget = self.budgets.get(endpoint).copied().unwrap_or(TokenBucket::full(INITIAL_BUDGET));
+        budget.refill_at(per_second, most, cluster.now());
+        budget
+    }
+
+    /// The requests per second that an endpoint of a group usually gets from this pooler at its full
+    /// capacity, as the traffic of the group shows: an equal part of it, or all that needs the primary.
+    fn usual_endpoint_rate(&self, group_id: u32, cluster: &Cluster) -> f64 {
+        let Some(group) = cluster.group(group_id) else { return 0.0 };
+        let Some(traffic) = self.traffic.get(&group_id) else { return 0.0 };
+        let equal_part = 1.0 / group_capacity(group, cluster).max(1.0);
+        let part = equal_part.max(1.0 - self.read_share);
+        part * traffic.usual_rate.per_second(cluster.now(), USUAL_RATE_TIME)
+    }
+}
+
+/// The present capacity of an endpoint, as a share of its full one.
+fn capacity(endpoint: EndpointKey, cluster: &Cluster) -> f64 {
+    let uptime = cluster.endpoint(endpoint).min_uptime(cluster.clock(), cluster.now());
+    uptime.map_or(1.0, |uptime| cluster.settings().capacity_after(uptime))
+}
+
+fn group_capacity(group: &Group, cluster: &Cluster) -> f64 {
+    cluster.usable_endpoints(group).map(|endpoint| capacity(endpoint, cluster)).sum()
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -5,7 +5,7 @@
 pub use validation::SettingsError;
 pub(crate) use validation::{require_non_negative, validate};
 
-use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
+use crate::time::Span;
 
 /// What happens when a request is executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,42 +80,12 @@
         }
     }
 
-    /// Until when a request may be repeated that was first sent at this time and may have been executed.
-    pub fn repeatable_until(&self, sent_at: LocalInstant) -> LocalInstant {
-        match self.idempotency {
-            Idempotency::Idempotent => LocalInstant::from_secs(f64::INFINITY),
-            Idempotency::IdempotencyKey => sent_at + self.deduplication_window,
-            Idempotency::NonIdempotent => LocalInstant::from_secs(f64::NEG_INFINITY),
-        }
-    }
-
-    /// Whether a client may send a request again that may have been executed.
-    pub fn clients_may_retry(&self) -> bool {
-        match self.idempotency {
-            Idempotency::Idempotent => true,
-            Idempotency::IdempotencyKey => self.deduplication_scope == DeduplicationScope::AnyEndpoint,
-            Idempotency::NonIdempotent => false,
-        }
-    }
-
     /// Whether only the primary can answer its requests.
     pub fn needs_primary(&self) -> bool {
         matches!(self.consistency, Consistency::Write | Consistency::Strong)
     }
 }
 
-impl Consistency {
-    /// The log position that a request sent now has to see; `session_token` is its session's last write.
-    pub fn required_position(self, now: ClusterInstant, session_token: LogPosition) -> LogPosition {
-        match self {
-            Consistency::BoundedStaleness(bound) => now - bound,
-            Consistency::Eventual => LogPosition::from_secs(f64::NEG_INFINITY),
-            Consistency::Session => session_token,
-            Consistency::Write | Consistency::Strong => LogPosition::from_secs(f64::INFINITY),
-        }
-    }
-}
-
 impl Default for RequestClass {
     fn default() -> Self {
         RequestClass {
@@ -187,8 +157,8 @@
     pub initial_capacity: f64,
     /// A starting endpoint has its full capacity after this time.
     pub slow_start_window: Span,
-    /// An endpoint in slow start collapses if its load exceeds this multiple of its present capacity throughout
-    /// [`overload_window`](Self::overload_window); `None` if it withstands any load.
+    /// An endpoint in slow start collapses if its load exceeds this multiple of its present capacity
+    /// throughout [`overload_window`](Self::overload_window); `None` if it withstands any load.
     pub overload_limit: Option<f64>,
     /// How long an endpoint in slow start withstands a load above [`overload_limit`](Self::overload_limit).
     pub overload_window: Span,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,5 +1,5 @@
-//! Times of the policy. An instant on the pooler's clock, an instant on the database hosts' clock and a span of
-//! time are types of their own, so that the compiler rejects a mix-up.
+//! Times of the policy. An instant on the pooler's clock, an instant on the database hosts' clock and a
+//! span of time are types of their own, so that the compiler rejects a mix-up.
 //!
 //! All of them count seconds in double precision. They are ordered by [`f64::total_cmp`].
 
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -34,12 +34,19 @@
     }
 }
 
+/// Every file of decisions below a folder, as its path from the root. Test files decide nothing.
+fn decision_files(folder: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(root().join(folder)).expect("the folder is there");
+    let paths = entries.map(|entry| folder.join(entry.expect("it can be listed").file_name()));
+    let files =
+        paths.flat_map(|path| if root().join(&path).is_dir() { decision_files(&path) } else { vec![path] });
+    files.filter(|file| !file.ends_with("tests.rs")).collect()
+}
+
 #[test]
 fn the_deploy_file_names_every_file_of_the_policy() {
     let named = policy_files();
-    let folder = fs::read_dir(root().join("src/policy")).expect("the folder of the policy is there");
-    for entry in folder {
-        let file = Path::new("src/policy").join(entry.expect("it can be listed").file_name());
+    for file in decision_files(Path::new("src/policy")) {
         assert!(named.contains(&file), "{} is not named", file.display());
     }
 }
