--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -1,6 +1,7 @@
 //! One connection to a database host: connects, starts the session, sends queries and reads their replies.
 
 use std::net::SocketAddr;
+use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
 
@@ -18,9 +19,9 @@
 /// The body of an Authentication message that asks for nothing more.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
-/// How long a query may wait in the output buffer (seconds). It says how much time its client has left, and
+/// How long a query may wait in the output buffer. It says how much time its client has left, and
 /// hosts may be told at most 0.15 s more than that.
-const SEND_TIMEOUT: f64 = 0.1;
+const QUERY_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How far an exchange has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,8 +52,8 @@
     pub address: SocketAddr,
     /// The socket.
     pub stream: TcpStream,
-    /// When the present state has lasted too long (Unix seconds).
-    pub state_deadline: f64,
+    /// When the present state has lasted too long.
+    pub state_deadline: Instant,
     state: State,
     input: RingBuffer,
     output: RingBuffer,
@@ -67,7 +68,7 @@
         address: SocketAddr,
         stream: TcpStream,
         exchange: Exchange,
-        connect_timeout: f64,
+        connect_timeout: Duration,
         budget: &MemoryBudget,
     ) -> Connection {
         Connection {
@@ -114,7 +115,7 @@
     }
 
     /// Starts an exchange on an idle connection.
-    pub fn start(&mut self, exchange: Exchange, now: f64, response_timeout: f64) -> Progress {
+    pub fn start(&mut self, exchange: Exchange, now: Instant, response_timeout: Duration) -> Progress {
         match self.send_query(exchange, now) {
             Progress::Pending => self.poll(now, response_timeout),
             progress => progress,
@@ -127,7 +128,7 @@
     }
 
     /// Ends an exchange whose reply has ended. The connection is idle from then on, until `idle_deadline`.
-    pub fn finish_exchange(&mut self, idle_deadline: f64) -> Option<(Exchange, Reply)> {
+    pub fn finish_exchange(&mut self, idle_deadline: Instant) -> Option<(Exchange, Reply)> {
         let finished = self.take_exchange()?;
         self.state_deadline = idle_deadline;
         // Releasing memory always succeeds.
@@ -137,7 +138,7 @@
 
     /// Reads, processes and writes as far as possible without blocking. Once a reply has begun, the rest of
     /// it is due within `response_timeout`: a reply may announce more data than its sender ever sends.
-    pub fn poll(&mut self, now: f64, response_timeout: f64) -> Progress {
+    pub fn poll(&mut self, now: Instant, response_timeout: Duration) -> Progress {
         let progress = self.advance(now);
         let has_unread_input = self.has_unread_input();
         if let State::Busy { reply, response_started, .. } = &mut self.state {
@@ -150,7 +151,7 @@
     }
 
     /// Ends the exchange because the present state has lasted too long.
-    pub fn expire(&mut self, now: f64, connect_timeout: f64) -> Progress {
+    pub fn expire(&mut self, now: Instant, connect_timeout: Duration) -> Progress {
         match self.state.expiry(now, connect_timeout, self.is_output_sent()) {
             Expiry::ReplyStalled => self.reject_malformed(),
             Expiry::Failed(outcome) => Progress::Failed(outcome),
@@ -158,7 +159,7 @@
     }
 
     /// Reads, processes and writes until the peer must act or the exchange ends.
-    fn advance(&mut self, now: f64) -> Progress {
+    fn advance(&mut self, now: Instant) -> Progress {
         if matches!(self.state, State::Connecting(_)) {
             match self.finish_connecting() {
                 ConnectStatus::Established => {}
@@ -193,7 +194,7 @@
 
     /// Writes as much as possible. A query that was not written in time must not be written any more. Once
     /// one is written, its exchange has all its time.
-    fn write_output(&mut self, now: f64) -> Result<(), Progress> {
+    fn write_output(&mut self, now: Instant) -> Result<(), Progress> {
         let is_query_waiting = self.state.is_busy() && !self.is_output_sent();
         if is_query_waiting && now >= self.state_deadline {
             return Err(Progress::Failed(Outcome::ConnectFailed));
@@ -229,10 +230,10 @@
 
     /// Queues the query of an exchange. Fails without sending any of it if its time is over or memory is
     /// short.
-    fn send_query(&mut self, exchange: Exchange, now: f64) -> Progress {
+    fn send_query(&mut self, exchange: Exchange, now: Instant) -> Progress {
         let is_expired = now >= exchange.deadline;
         let query = exchange.query_message(now);
-        self.state_deadline = exchange.deadline.min(now + SEND_TIMEOUT);
+        self.state_deadline = exchange.deadline.min(now + QUERY_WRITE_TIMEOUT);
         self.state = State::busy(exchange);
         if is_expired {
             return Progress::Failed(Outcome::NotSent);
@@ -244,7 +245,7 @@
     }
 
     /// Processes each complete message in the input buffer.
-    fn process_messages(&mut self, now: f64) -> Progress {
+    fn process_messages(&mut self, now: Instant) -> Progress {
         loop {
             let message = match postgres::read_server_message(&mut self.input) {
                 Ok(Some(message)) => message,
@@ -259,7 +260,7 @@
     }
 
     /// Processes one message as the present state requires.
-    fn process_message(&mut self, message: &Message, now: f64) -> Progress {
+    fn process_message(&mut self, message: &Message, now: Instant) -> Progress {
         if matches!(message.kind, message_kind::NOTICE_RESPONSE | message_kind::BACKEND_KEY_DATA) {
             return Progress::Pending;
         }
@@ -281,7 +282,7 @@
     }
 
     /// Processes a message of the session start. Sends the query as soon as the session is ready.
-    fn process_startup_message(&mut self, message: &Message, now: f64) -> Progress {
+    fn process_startup_message(&mut self, message: &Message, now: Instant) -> Progress {
         match message.kind {
             message_kind::PARAMETER_STATUS => Progress::Pending,
             message_kind::AUTHENTICATION if message.body == AUTHENTICATION_OK => Progress::Pending,
--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -5,24 +5,23 @@
 use super::*;
 use crate::net::messages::{Statement, Task};
 
-const STARTED_AT: f64 = 100.0;
-const TIMEOUT: f64 = 5.0;
-const CONNECT_TIMEOUT: f64 = 1.0;
+const TIMEOUT: Duration = Duration::from_secs(5);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Less than the kernel's buffers would otherwise hold.
 const SOCKET_BUFFER: usize = 4096;
 /// Far more than fits into the buffers of both sockets.
 const STATEMENT_LENGTH: usize = 150_000;
-/// How much longer a host may be told to wait than its client does (seconds).
-const DEADLINE_SLACK: f64 = 0.15;
+/// How much longer a host may be told to wait than its client does.
+const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-fn long_read() -> Exchange {
+fn long_read(started_at: Instant) -> Exchange {
     let text = format!("/* d=5000 */ SELECT '{}'", "x".repeat(STATEMENT_LENGTH)).into_boxed_str();
     let statement = Statement { text, timeout: 5..9, memory: None };
-    Exchange::new(Task::Attempt("1".into(), 0, Rc::new(statement)), STARTED_AT, TIMEOUT)
+    Exchange::new(Task::Attempt("1".into(), 0, Rc::new(statement)), started_at, TIMEOUT)
 }
 
-/// A connection whose session is started, to a host that reads nothing more.
-fn connection_with_waiting_query() -> (Connection, std::net::TcpStream) {
+/// A connection whose session is started at an instant, to a host that reads nothing more.
+fn connection_with_waiting_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&listener).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
     let address = listener.local_addr().unwrap();
@@ -30,16 +29,16 @@
     socket2::SockRef::from(&stream).set_send_buffer_size(SOCKET_BUFFER).unwrap();
     let budget = MemoryBudget::new(1_000_000);
     let mut connection =
-        Connection::new("db-1".into(), address, stream, long_read(), CONNECT_TIMEOUT, &budget);
+        Connection::new("db-1".into(), address, stream, long_read(started_at), CONNECT_TIMEOUT, &budget);
     let (mut host, _) = listener.accept().unwrap();
     while !connection.state.is_starting() {
-        assert_eq!(connection.poll(STARTED_AT, CONNECT_TIMEOUT), Progress::Pending);
+        assert_eq!(connection.poll(started_at, CONNECT_TIMEOUT), Progress::Pending);
     }
     let startup_length = postgres::startup_message(USER, DATABASE).len();
     host.read_exact(&mut vec![0; startup_length]).unwrap();
     host.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").unwrap();
     while connection.state.is_starting() {
-        assert_eq!(connection.poll(STARTED_AT, CONNECT_TIMEOUT), Progress::Pending);
+        assert_eq!(connection.poll(started_at, CONNECT_TIMEOUT), Progress::Pending);
     }
     assert!(!connection.has_empty_buffers(), "the query does not fit into the socket");
     (connection, host)
@@ -49,26 +48,29 @@
 /// told the host a time that was over.
 #[test]
 fn a_query_that_waits_to_be_written_is_given_up_before_its_deadline_is_wrong() {
-    let (mut connection, _host) = connection_with_waiting_query();
-    assert!(connection.state_deadline <= STARTED_AT + DEADLINE_SLACK, "{}", connection.state_deadline);
-    let expired = connection.expire(STARTED_AT + DEADLINE_SLACK, CONNECT_TIMEOUT);
+    let started_at = Instant::now();
+    let (mut connection, _host) = connection_with_waiting_query(started_at);
+    assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "it waits for too long");
+    let expired = connection.expire(started_at + DEADLINE_SLACK, CONNECT_TIMEOUT);
     assert_eq!(expired, Progress::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
 fn a_query_that_has_waited_too_long_is_not_written_when_the_host_reads_again() {
-    let (mut connection, mut host) = connection_with_waiting_query();
+    let started_at = Instant::now();
+    let (mut connection, mut host) = connection_with_waiting_query(started_at);
     std::thread::spawn(move || host.read_to_end(&mut Vec::new()));
-    let late = STARTED_AT + 2.0 * DEADLINE_SLACK;
+    let late = started_at + 2 * DEADLINE_SLACK;
     assert_eq!(connection.poll(late, CONNECT_TIMEOUT), Progress::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
 fn a_query_that_is_written_has_all_its_time() {
-    let (mut connection, mut host) = connection_with_waiting_query();
+    let started_at = Instant::now();
+    let (mut connection, mut host) = connection_with_waiting_query(started_at);
     std::thread::spawn(move || host.read_to_end(&mut Vec::new()));
     while !connection.has_empty_buffers() {
-        assert_eq!(connection.poll(STARTED_AT, CONNECT_TIMEOUT), Progress::Pending);
+        assert_eq!(connection.poll(started_at, CONNECT_TIMEOUT), Progress::Pending);
     }
-    assert_eq!(connection.state_deadline, STARTED_AT + TIMEOUT);
+    assert_eq!(connection.state_deadline, started_at + TIMEOUT);
 }
--- a/src/net/backend/exchange.rs
+++ b/src/net/backend/exchange.rs
@@ -1,5 +1,7 @@
 //! One task that is carried out over a connection, from its start to its completion.
 
+use std::time::{Duration, Instant};
+
 use super::reply::Reply;
 use crate::interface::{EndpointId, Outcome};
 use crate::net::postgres;
@@ -12,23 +14,23 @@
 pub(super) struct Exchange {
     /// What is carried out.
     pub task: Task,
-    /// When the task was handed to the backend (Unix seconds).
-    pub started_at: f64,
-    /// When its result is no longer wanted (Unix seconds).
-    pub deadline: f64,
+    /// When the task was handed to the backend.
+    pub started_at: Instant,
+    /// When its result is no longer wanted.
+    pub deadline: Instant,
 }
 
 impl Exchange {
-    /// An exchange that starts now and may take `timeout` seconds.
-    pub fn new(task: Task, now: f64, timeout: f64) -> Exchange {
+    /// An exchange that starts now and may take `timeout`.
+    pub fn new(task: Task, now: Instant, timeout: Duration) -> Exchange {
         Exchange { task, started_at: now, deadline: now + timeout }
     }
 
     /// The Query message for the task. A statement announces the time that is left until the deadline.
-    pub fn query_message(&self, now: f64) -> Vec<u8> {
+    pub fn query_message(&self, now: Instant) -> Vec<u8> {
         match &self.task {
             Task::Attempt(_, _, statement) => {
-                let sql = statement.with_timeout(self.deadline - now);
+                let sql = statement.with_timeout(self.deadline.saturating_duration_since(now));
                 postgres::query_message(&sql)
             }
             Task::HealthCheck => postgres::query_message(LOAD_REPORT_QUERY),
@@ -44,7 +46,7 @@
             task: self.task,
             endpoint: endpoint.clone(),
             outcome,
-            elapsed: context.reactor.now() - self.started_at,
+            elapsed: context.reactor.now().saturating_duration_since(self.started_at),
             log_position: reply.log_position,
             primary: reply.primary,
             report: reply.report.unwrap_or_default(),
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -10,6 +10,7 @@
 mod state;
 
 use std::net::SocketAddr;
+use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
 use mio::Interest;
@@ -33,26 +34,24 @@
 pub(crate) struct Backend {
     pool: Pool,
     budget: MemoryBudget,
-    /// How long a connection stays idle until it is closed (seconds).
-    idle_timeout: f64,
-    /// How long a connection may take to become ready for a query, and a reply to end once it has begun
-    /// (seconds).
-    connect_timeout: f64,
+    /// How long a connection stays idle until it is closed.
+    idle_timeout: Duration,
+    /// How long a connection may take to become ready for a query, and a reply to end once it has begun.
+    connect_timeout: Duration,
 }
 
 impl Backend {
-    /// A backend without connections. `keepalive` is how long a database host keeps an idle connection
-    /// (seconds).
+    /// A backend without connections. `keepalive` is how long a database host keeps an idle connection.
     pub fn new(
         max_connections: usize,
         budget: MemoryBudget,
-        keepalive: f64,
-        connect_timeout: f64,
+        keepalive: Duration,
+        connect_timeout: Duration,
     ) -> Backend {
         Backend {
             pool: Pool::new(max_connections),
             budget,
-            idle_timeout: keepalive * IDLE_TIMEOUT_SHARE,
+            idle_timeout: keepalive.mul_f64(IDLE_TIMEOUT_SHARE),
             connect_timeout,
         }
     }
@@ -81,7 +80,7 @@
         &mut self,
         task: Task,
         endpoint: &EndpointId,
-        timeout: f64,
+        timeout: Duration,
         context: &mut Context,
     ) -> Option<ConnectionId> {
         let now = context.reactor.now();
@@ -170,7 +169,7 @@
     }
 
     /// Whether a connection exists and its present state has lasted too long.
-    fn is_expired(&mut self, id: ConnectionId, now: f64) -> bool {
+    fn is_expired(&mut self, id: ConnectionId, now: Instant) -> bool {
         self.pool.get_mut(id).is_some_and(|connection| connection.state_deadline <= now)
     }
 
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -2,6 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
+use std::time::{Duration, Instant};
 
 use super::connection::Connection;
 use crate::endpoint_list::ListedEndpoint;
@@ -10,16 +11,16 @@
 
 /// The most idle connections that are kept for one database host.
 const MAX_IDLE_PER_HOST: usize = 48;
-/// How long a host that has left the endpoint list stays known (seconds); far longer than any deadline.
-const REMOVED_HOST_RETENTION: f64 = 60.0;
+/// How long a host that has left the endpoint list stays known; far longer than any deadline.
+const REMOVED_HOST_RETENTION: Duration = Duration::from_secs(60);
 
 /// A database host of the endpoint list.
 struct Host {
     address: SocketAddr,
-    /// When it last started (Unix seconds).
+    /// When it last started (Unix seconds on the clock of the database hosts).
     started_at: f64,
-    /// When an update of the endpoint list last contained it, with whatever status (Unix seconds).
-    last_listed_at: f64,
+    /// When an update of the endpoint list last contained it, with whatever status.
+    last_listed_at: Instant,
     /// Whether it has left the endpoint list.
     removed: bool,
     /// Whether it is listed as serving.
@@ -29,7 +30,7 @@
 }
 
 impl Host {
-    fn new(listed: &ListedEndpoint, now: f64) -> Host {
+    fn new(listed: &ListedEndpoint, now: Instant) -> Host {
         Host {
             address: listed.address,
             started_at: listed.started_at,
@@ -61,7 +62,7 @@
         &mut self,
         kind: UpdateKind,
         endpoints: &[ListedEndpoint],
-        now: f64,
+        now: Instant,
     ) -> HashSet<EndpointId> {
         let mut leaving = self.serving_hosts();
         if kind != UpdateKind::Delta {
@@ -78,7 +79,9 @@
                 self.connections.remove(id);
             }
         }
-        self.hosts.retain(|_, host| !host.removed || now - host.last_listed_at < REMOVED_HOST_RETENTION);
+        self.hosts.retain(|_, host| {
+            !host.removed || now.saturating_duration_since(host.last_listed_at) < REMOVED_HOST_RETENTION
+        });
         for serving in self.serving_hosts() {
             leaving.remove(&serving);
         }
@@ -91,7 +94,7 @@
     }
 
     /// Applies one entry of an update.
-    fn update_endpoint(&mut self, listed: &ListedEndpoint, now: f64) {
+    fn update_endpoint(&mut self, listed: &ListedEndpoint, now: Instant) {
         let host = self.hosts.entry(listed.name.clone()).or_insert_with(|| Host::new(listed, now));
         let connections_are_stale = host.address != listed.address
             || host.started_at != listed.started_at
@@ -169,7 +172,7 @@
             .connections
             .iter()
             .filter(|(_, connection)| connection.is_idle())
-            .min_by(|(_, a), (_, b)| a.state_deadline.total_cmp(&b.state_deadline))
+            .min_by_key(|(_, connection)| connection.state_deadline)
             .map(|(id, _)| id);
         next_to_expire.is_some_and(|id| self.remove(id).is_some())
     }
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -1,5 +1,7 @@
 //! The states of a connection, and how the exchange of each state ends when the connection fails.
 
+use std::time::{Duration, Instant};
+
 use super::exchange::Exchange;
 use super::reply::Reply;
 use crate::interface::Outcome;
@@ -90,7 +92,7 @@
     }
 
     /// How the exchange ends when the state has lasted too long.
-    pub fn expiry(&self, now: f64, connect_timeout: f64, output_sent: bool) -> Expiry {
+    pub fn expiry(&self, now: Instant, connect_timeout: Duration, output_sent: bool) -> Expiry {
         match self {
             State::Connecting(exchange) | State::Starting(exchange) => {
                 if now >= exchange.started_at + connect_timeout {
--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -1,3 +1,5 @@
+use std::sync::LazyLock;
+
 use rstest::rstest;
 
 use super::*;
@@ -5,12 +7,13 @@
 use crate::net::postgres::Message;
 use crate::net::Task;
 
-const STARTED_AT: f64 = 100.0;
-const CONNECT_TIMEOUT: f64 = 1.0;
-const TIMEOUT: f64 = 5.0;
+/// When the exchanges of these tests start.
+static STARTED_AT: LazyLock<Instant> = LazyLock::new(Instant::now);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 fn exchange() -> Exchange {
-    Exchange::new(Task::HealthCheck, STARTED_AT, TIMEOUT)
+    Exchange::new(Task::HealthCheck, *STARTED_AT, TIMEOUT)
 }
 
 /// A state whose reply is an ErrorResponse with this code, or empty.
@@ -56,24 +59,25 @@
 }
 
 #[rstest]
-#[case::connecting(State::Connecting(exchange()), 101.0, true, Expiry::Failed(Outcome::ConnectFailed))]
-#[case::starting(State::Starting(exchange()), 101.0, true, Expiry::Failed(Outcome::ConnectFailed))]
+#[case::connecting(State::Connecting(exchange()), 1000, true, Expiry::Failed(Outcome::ConnectFailed))]
+#[case::starting(State::Starting(exchange()), 1000, true, Expiry::Failed(Outcome::ConnectFailed))]
 #[case::starting_at_an_earlier_deadline(
     State::Starting(exchange()),
-    100.5,
+    500,
     true,
     Expiry::Failed(Outcome::Timeout)
 )]
-#[case::query_not_sent(busy(None, true), 105.0, false, Expiry::Failed(Outcome::ConnectFailed))]
-#[case::no_reply(busy(None, false), 105.0, true, Expiry::Failed(Outcome::Timeout))]
-#[case::part_of_a_reply(busy(None, true), 105.0, true, Expiry::ReplyStalled)]
-#[case::idle(State::Idle, 105.0, true, Expiry::Failed(Outcome::Timeout))]
+#[case::query_not_sent(busy(None, true), 5000, false, Expiry::Failed(Outcome::ConnectFailed))]
+#[case::no_reply(busy(None, false), 5000, true, Expiry::Failed(Outcome::Timeout))]
+#[case::part_of_a_reply(busy(None, true), 5000, true, Expiry::ReplyStalled)]
+#[case::idle(State::Idle, 5000, true, Expiry::Failed(Outcome::Timeout))]
 fn the_state_decides_how_an_exchange_expires(
     #[case] state: State,
-    #[case] now: f64,
+    #[case] elapsed_millis: u64,
     #[case] output_sent: bool,
     #[case] expiry: Expiry,
 ) {
+    let now = *STARTED_AT + Duration::from_millis(elapsed_millis);
     assert_eq!(state.expiry(now, CONNECT_TIMEOUT, output_sent), expiry);
 }
 
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,6 +1,7 @@
 //! One watch on the endpoint list: an HTTP request whose response does not end.
 
 use std::net::SocketAddr;
+use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
 
@@ -14,30 +15,30 @@
 // A change of the endpoint list must have reached the pooler 6 s after it happened, also where a watch has
 // stopped working. These timeouts leave time to open another watch.
 
-/// A watch on which nothing is received for this time is closed (seconds). A heartbeat is due every 2 s.
-const SILENCE_TIMEOUT: f64 = 2.8;
-/// A watch whose response has not begun after this time is closed (seconds). Its head is sent at once.
-const RESPONSE_HEAD_TIMEOUT: f64 = 1.0;
-/// A watch on which a list has begun and is not complete after this time is closed (seconds).
-const LIST_TIMEOUT: f64 = 2.8;
+/// A watch on which nothing is received for this time is closed. A heartbeat is due every 2 s.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
+/// A watch whose response has not begun after this time is closed. Its head is sent at once.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// A watch on which a list has begun and is not complete after this time is closed.
+const LIST_TIMEOUT: Duration = Duration::from_millis(2800);
 /// The timeouts of a watch that follows a failed one are longer by this factor, since the service may be
 /// slow.
 const RETRY_TIMEOUT_FACTOR: f64 = 2.5;
 
-/// How long each part of the response to a watch may take (seconds).
+/// How long each part of the response to a watch may take.
 #[derive(Clone, Copy)]
 pub(super) struct WatchTimeouts {
     /// Until the response begins.
-    pub head: f64,
+    pub head: Duration,
     /// Until a list that has begun is complete.
-    list: f64,
+    list: Duration,
 }
 
 impl WatchTimeouts {
     /// The timeouts of a watch that follows a failed one, or not.
     pub fn new(follows_failure: bool) -> WatchTimeouts {
         let factor = if follows_failure { RETRY_TIMEOUT_FACTOR } else { 1.0 };
-        WatchTimeouts { head: RESPONSE_HEAD_TIMEOUT * factor, list: LIST_TIMEOUT * factor }
+        WatchTimeouts { head: RESPONSE_HEAD_TIMEOUT.mul_f64(factor), list: LIST_TIMEOUT.mul_f64(factor) }
     }
 }
 
@@ -51,15 +52,15 @@
     /// Whether a list or a heartbeat has been received.
     pub answered: bool,
     /// When anything was last received, or the watch was opened.
-    last_received_at: f64,
+    last_received_at: Instant,
     /// When the list began that is not complete yet.
-    list_started_at: Option<f64>,
+    list_started_at: Option<Instant>,
     timeouts: WatchTimeouts,
 }
 
 impl Watch {
     /// A watch whose request has not been sent yet.
-    pub fn new(stream: TcpStream, budget: &MemoryBudget, timeouts: WatchTimeouts, now: f64) -> Watch {
+    pub fn new(stream: TcpStream, budget: &MemoryBudget, timeouts: WatchTimeouts, now: Instant) -> Watch {
         Watch {
             stream,
             input: RingBuffer::new(budget),
@@ -82,17 +83,20 @@
     }
 
     /// When the watch has to be closed if nothing more is received until then.
-    pub fn deadline(&self) -> f64 {
+    pub fn deadline(&self) -> Instant {
         if !self.response.has_head() {
             return self.last_received_at + self.timeouts.head;
         }
-        let list_deadline = self.list_started_at.map_or(f64::INFINITY, |start| start + self.timeouts.list);
-        list_deadline.min(self.last_received_at + SILENCE_TIMEOUT)
+        let silence_deadline = self.last_received_at + SILENCE_TIMEOUT;
+        match self.list_started_at {
+            Some(started_at) => silence_deadline.min(started_at + self.timeouts.list),
+            None => silence_deadline,
+        }
     }
 
     /// Reads and writes until the socket would block. Appends to `updates` what was received, also where an
     /// error follows it.
-    pub fn poll(&mut self, now: f64, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    pub fn poll(&mut self, now: Instant, updates: &mut Vec<Update>) -> Result<(), WatchError> {
         let received_before = self.input.total_received();
         let result = self.transfer(updates);
         if self.response.has_head() && self.input.total_received() > received_before {
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -2,6 +2,7 @@
 
 use std::io::{self, ErrorKind};
 use std::ops::ControlFlow;
+use std::time::{Duration, Instant};
 
 use mio::net::{TcpListener, TcpStream};
 use mio::Interest;
@@ -13,8 +14,8 @@
 use crate::net::reactor::{ConnectionId, EventSource, TimerEvent};
 use crate::net::Context;
 
-/// Delay before accepting again after the system had no descriptor or memory for a connection (seconds).
-const ACCEPT_RETRY_DELAY: f64 = 0.1;
+/// Delay before accepting again after the system had no descriptor or memory for a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The listening socket and what keeps it from accepting.
 pub(super) struct Acceptor {
@@ -119,7 +120,12 @@
         }
     }
 
-    fn handle_accept_error(&mut self, error: &io::Error, now: f64, context: &mut Context) -> ControlFlow<()> {
+    fn handle_accept_error(
+        &mut self,
+        error: &io::Error,
+        now: Instant,
+        context: &mut Context,
+    ) -> ControlFlow<()> {
         match error.kind() {
             ErrorKind::WouldBlock => {
                 self.acceptor.on_queue_empty();
@@ -156,7 +162,7 @@
             .is_some_and(|connection| connection.state.is_write_shut_down() || connection.is_idle())
     }
 
-    fn warn_all_busy(&mut self, now: f64) {
+    fn warn_all_busy(&mut self, now: Instant) {
         if self.acceptor.log_limiter.permits(now) {
             let clients = self.connections.len();
             tracing::warn!(clients, "all client connections are busy: new connections wait");
--- a/src/net/frontend/arrivals.rs
+++ b/src/net/frontend/arrivals.rs
@@ -1,6 +1,7 @@
 //! Remembers when the bytes of a connection's input were received.
 
 use std::collections::VecDeque;
+use std::time::Instant;
 
 /// Most arrival times kept for one connection. Bytes received after that count as received with the last
 /// ones.
@@ -10,7 +11,7 @@
 struct Arrival {
     /// Number of bytes received in total up to and with this read.
     end: u64,
-    received_at: f64,
+    received_at: Instant,
 }
 
 /// Arrival times of input that is not processed yet. A client may send queries ahead: the timeout of a query
@@ -23,7 +24,7 @@
 impl ArrivalTimes {
     /// Records that the input has grown to `total_received` bytes by `now`, of which `total_consumed` are
     /// processed.
-    pub(super) fn record(&mut self, total_received: u64, total_consumed: u64, now: f64) {
+    pub(super) fn record(&mut self, total_received: u64, total_consumed: u64, now: Instant) {
         self.forget_while(|arrival| arrival.end <= total_consumed);
         if total_received == total_consumed {
             return;
@@ -37,7 +38,7 @@
     }
 
     /// Returns when the last of the first `total_consumed` bytes was received.
-    pub(super) fn received_at(&mut self, total_consumed: u64) -> Option<f64> {
+    pub(super) fn received_at(&mut self, total_consumed: u64) -> Option<Instant> {
         self.forget_while(|arrival| arrival.end < total_consumed);
         self.arrivals.front().map(|arrival| arrival.received_at)
     }
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -2,6 +2,7 @@
 
 use std::io;
 use std::net::Shutdown;
+use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
 use mio::Interest;
@@ -15,8 +16,8 @@
 use crate::net::reactor::{ConnectionId, EventSource, TimerEvent};
 use crate::net::{Context, Event};
 
-/// Delay before the socket is registered again after the system had no memory for it (seconds).
-const REGISTER_RETRY_DELAY: f64 = 0.02;
+/// Delay before the socket is registered again after the system had no memory for it.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The protocol state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,10 +89,10 @@
     /// Whether a timer is set to poll again, since no event announces the input that is left.
     pub(super) poll_scheduled: bool,
     /// When the client last sent something or was last sent a response.
-    pub(super) last_active: f64,
+    pub(super) last_active: Instant,
     pub(super) deadline: ClientDeadline,
-    /// How long the client may take to read its responses (seconds).
-    pub(super) response_timeout: f64,
+    /// How long the client may take to read its responses.
+    pub(super) response_timeout: Duration,
 }
 
 impl Connection {
@@ -100,8 +101,8 @@
         stream: TcpStream,
         cancel_key: CancelKey,
         budget: &MemoryBudget,
-        response_timeout: f64,
-        now: f64,
+        response_timeout: Duration,
+        now: Instant,
     ) -> Self {
         Connection {
             stream,
@@ -170,7 +171,7 @@
     }
 
     /// Reads what has arrived and records when.
-    fn read_input(&mut self, now: f64) -> Result<ReadStatus, ConnectionClosed> {
+    fn read_input(&mut self, now: Instant) -> Result<ReadStatus, ConnectionClosed> {
         let received_before = self.input.total_received();
         let status = self.input.read_from(&mut self.stream)?;
         if status == ReadStatus::EndOfStream {
@@ -204,7 +205,7 @@
     fn discard_input(
         &mut self,
         id: ConnectionId,
-        now: f64,
+        now: Instant,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
         match self.input.read_from(&mut self.stream)? {
@@ -217,7 +218,7 @@
     }
 
     /// Polls again after the other connections have had their turn.
-    fn schedule_poll(&mut self, id: ConnectionId, now: f64, context: &mut Context) {
+    fn schedule_poll(&mut self, id: ConnectionId, now: Instant, context: &mut Context) {
         self.poll_scheduled = true;
         context.reactor.set_timer(now, TimerEvent::Client(id));
     }
--- a/src/net/frontend/deadline.rs
+++ b/src/net/frontend/deadline.rs
@@ -1,24 +1,25 @@
 //! Limits the time that a client may take for what it has to do next: to send its first query, to complete a
 //! message, to read its responses, or to read the last message before the connection is closed.
 
+use std::time::{Duration, Instant};
+
 use super::connection::{Connection, ConnectionClosed, State};
 use crate::net::postgres::sqlstate;
 use crate::net::reactor::{ConnectionId, TimerEvent};
 use crate::net::Context;
 
-/// Time that a client may take to send its first query and to complete a message (seconds). Keeps clients
-/// that do neither from using up the connection limit.
-const SEND_TIMEOUT: f64 = 2.0;
-/// Time that a client may take to read its responses beyond the longest deadline of any request (seconds).
+/// Time that a client may take to send its first query and to complete a message. Keeps clients that do
+/// neither from using up the connection limit.
+const CLIENT_SEND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time that a client may take to read its responses beyond the longest deadline of any request.
 /// After that no client waits for them.
-const READ_MARGIN: f64 = 0.5;
-/// Time that a connection stays open after its last message was written (seconds).
-const CLOSE_LINGER: f64 = 1.0;
+const READ_MARGIN: Duration = Duration::from_millis(500);
+/// Time that a connection stays open after its last message was written.
+const CLOSE_LINGER: Duration = Duration::from_secs(1);
 
-/// The time that clients may take to read their responses, where no request has a longer deadline than this
-/// (seconds).
-pub(super) fn response_timeout(longest_deadline: f64) -> f64 {
-    longest_deadline.max(SEND_TIMEOUT) + READ_MARGIN
+/// The time that clients may take to read their responses, where no request has a longer deadline than this.
+pub(super) fn response_timeout(longest_deadline: Duration) -> Duration {
+    longest_deadline.max(CLIENT_SEND_TIMEOUT) + READ_MARGIN
 }
 
 /// What a client has to do next.
@@ -35,7 +36,7 @@
 /// The time by which a client must have acted, if anything is due from it.
 #[derive(Default)]
 pub(super) struct ClientDeadline {
-    due: Option<(DueAction, f64)>,
+    due: Option<(DueAction, Instant)>,
 }
 
 impl ClientDeadline {
@@ -45,7 +46,7 @@
     }
 
     /// Returns whether the deadline has passed.
-    pub(super) fn has_expired(&self, now: f64) -> bool {
+    pub(super) fn has_expired(&self, now: Instant) -> bool {
         self.due.is_some_and(|(_, expires_at)| now >= expires_at)
     }
 
@@ -54,7 +55,7 @@
     }
 
     /// Sets the deadline, and a timer for it.
-    fn set(&mut self, action: DueAction, expires_at: f64, id: ConnectionId, context: &mut Context) {
+    fn set(&mut self, action: DueAction, expires_at: Instant, id: ConnectionId, context: &mut Context) {
         self.due = Some((action, expires_at));
         context.reactor.set_timer(expires_at, TimerEvent::Client(id));
     }
@@ -68,7 +69,7 @@
             return;
         }
         let timeout = match action {
-            DueAction::Send => SEND_TIMEOUT,
+            DueAction::Send => CLIENT_SEND_TIMEOUT,
             DueAction::Read => self.response_timeout,
             DueAction::Close => CLOSE_LINGER,
         };
--- a/src/net/frontend/idle.rs
+++ b/src/net/frontend/idle.rs
@@ -2,17 +2,19 @@
 //!
 //! Clients that keep a connection open after a single query would otherwise use up the connection limit.
 
+use std::time::{Duration, Instant};
+
 use super::connection::Connection;
 use super::Frontend;
 use crate::net::reactor::TimerEvent;
 use crate::net::Context;
 
-/// Interval between two sweeps for idle connections (seconds).
-pub(super) const IDLE_SWEEP_INTERVAL: f64 = 0.1;
-/// Idle timeout while more than a quarter of the connection limit is in use (seconds).
-const IDLE_TIMEOUT: f64 = 2.0;
-/// Idle timeout while more than half of the connection limit is in use (seconds).
-const IDLE_TIMEOUT_CROWDED: f64 = 0.2;
+/// Interval between two sweeps for idle connections.
+pub(super) const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+/// Idle timeout while more than a quarter of the connection limit is in use.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Idle timeout while more than half of the connection limit is in use.
+const IDLE_TIMEOUT_CROWDED: Duration = Duration::from_millis(200);
 
 impl Frontend {
     /// Closes the connections whose idle timeout has passed, those idle for longest first.
@@ -37,7 +39,7 @@
     }
 
     /// Returns the idle timeout for the present number of connections, or none if they are few.
-    fn idle_timeout(&self) -> Option<f64> {
+    fn idle_timeout(&self) -> Option<Duration> {
         let open = self.connections.iter().filter(|(_, connection)| !connection.state.is_closing()).count();
         if open > self.max_connections / 2 {
             Some(IDLE_TIMEOUT_CROWDED)
@@ -52,7 +54,7 @@
 impl Connection {
     /// Returns whether the connection has been idle for the timeout. Clients that have sent no query yet are
     /// left out: they have a deadline of their own.
-    fn has_been_idle(&self, timeout: f64, now: f64) -> bool {
+    fn has_been_idle(&self, timeout: Duration, now: Instant) -> bool {
         self.has_queried && self.is_idle() && now >= self.last_active + timeout
     }
 }
--- a/src/net/frontend/log_limiter.rs
+++ b/src/net/frontend/log_limiter.rs
@@ -1,19 +1,22 @@
 //! Limits how often a recurring condition is logged.
 
-/// Time without an occurrence after which the condition is logged again (seconds).
-const LOG_INTERVAL: f64 = 10.0;
+use std::time::{Duration, Instant};
+
+/// Time without an occurrence after which the condition is logged again.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Permits one log line for a condition that comes and goes, until it has stayed away for [`LOG_INTERVAL`].
 #[derive(Default)]
 pub(super) struct LogLimiter {
-    muted_until: f64,
+    /// None before the first occurrence.
+    muted_until: Option<Instant>,
 }
 
 impl LogLimiter {
     /// Records an occurrence at `now` and returns whether to log it.
-    pub(super) fn permits(&mut self, now: f64) -> bool {
-        let permitted = now >= self.muted_until;
-        self.muted_until = now + LOG_INTERVAL;
+    pub(super) fn permits(&mut self, now: Instant) -> bool {
+        let permitted = self.muted_until.is_none_or(|muted_until| now >= muted_until);
+        self.muted_until = Some(now + LOG_INTERVAL);
         permitted
     }
 }
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -19,6 +19,7 @@
 mod session;
 
 use std::io;
+use std::time::{Duration, Instant};
 
 use mio::net::TcpListener;
 
@@ -36,9 +37,9 @@
     /// Set once there is an endpoint to which queries can be sent.
     ready: bool,
     /// When the shutdown started. Queries received later are rejected.
-    shutdown_started_at: Option<f64>,
-    /// When to retry a query that is rejected during the shutdown (seconds); 0 for no advice.
-    shutdown_retry_after: f64,
+    shutdown_started_at: Option<Instant>,
+    /// When to retry a query that is rejected during the shutdown; zero for no advice.
+    shutdown_retry_after: Duration,
 }
 
 /// All client connections, and the acceptor of new ones.
@@ -46,8 +47,8 @@
     acceptor: Acceptor,
     connections: ConnectionTable<Connection>,
     max_connections: usize,
-    /// How long a client may take to read its responses (seconds).
-    response_timeout: f64,
+    /// How long a client may take to read its responses.
+    response_timeout: Duration,
     /// Limits the memory of all connections together.
     budget: MemoryBudget,
     service: ServiceStatus,
@@ -57,11 +58,11 @@
 
 impl Frontend {
     /// Registers the listener and starts the idle sweep. Accepts at most `max_connections` at a time.
-    /// `longest_deadline` is that of all classes of requests (seconds).
+    /// `longest_deadline` is that of all classes of requests.
     pub fn new(
         listener: TcpListener,
         max_connections: usize,
-        longest_deadline: f64,
+        longest_deadline: Duration,
         budget: MemoryBudget,
         seed: u64,
         context: &mut Context,
@@ -159,8 +160,8 @@
     }
 
     /// Stops accepting once no connection waits, and closes each one as soon as all its queries are answered.
-    /// Later queries are rejected with this Retry-After (seconds); 0 for no advice.
-    pub fn start_shutdown(&mut self, retry_after: f64, context: &mut Context) {
+    /// Later queries are rejected with this Retry-After; zero for no advice.
+    pub fn start_shutdown(&mut self, retry_after: Duration, context: &mut Context) {
         self.service.shutdown_retry_after = retry_after;
         // Connections and queries that have arrived by now are still served.
         self.acceptor.start_closing();
@@ -213,7 +214,7 @@
         self.connections
             .iter()
             .filter(|(_, connection)| matches(connection))
-            .min_by(|(_, a), (_, b)| a.last_active.total_cmp(&b.last_active))
+            .min_by_key(|(_, connection)| connection.last_active)
             .map(|(id, _)| id)
     }
 }
--- a/src/net/frontend/response.rs
+++ b/src/net/frontend/response.rs
@@ -1,10 +1,14 @@
 //! Writes responses and errors to the output buffer of a connection.
 
+use std::time::Duration;
+
 use super::connection::{Connection, ConnectionClosed, State};
 use crate::net::postgres::{self, sqlstate};
 use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Response};
 
+const NANOS_PER_MILLISECOND: u128 = 1_000_000;
+
 impl Connection {
     /// Writes the final response to the running query.
     pub(super) fn respond(&mut self, response: Response) -> Result<(), ConnectionClosed> {
@@ -66,15 +70,16 @@
         Ok(())
     }
 
-    /// Writes a rejection. The detail says after how many milliseconds to retry, if that is known.
+    /// Writes a rejection. The detail says after how many milliseconds to retry, rounded up, unless there is no
+    /// such advice.
     pub(super) fn send_rejection(
         &mut self,
         code: &str,
         message: &str,
-        retry_after: f64,
+        retry_after: Duration,
     ) -> Result<(), ConnectionClosed> {
-        let milliseconds = (retry_after * 1000.0).ceil();
-        let detail = (milliseconds > 0.0).then(|| (milliseconds as u64).to_string());
+        let milliseconds = retry_after.as_nanos().div_ceil(NANOS_PER_MILLISECOND);
+        let detail = (milliseconds > 0).then(|| milliseconds.to_string());
         self.send_error(code, message, detail.as_deref())
     }
 }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -1,5 +1,7 @@
 //! Processes the messages of a client.
 
+use std::time::Instant;
+
 use super::connection::{Connection, ConnectionClosed, State};
 use super::ServiceStatus;
 use crate::net::postgres::message_kind::client;
@@ -166,8 +168,8 @@
         service: ServiceStatus,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
-        query.received_at = self.message_received_at();
-        if service.shutdown_started_at.is_some_and(|started_at| query.received_at > started_at) {
+        let received_at = self.message_received_at();
+        if service.shutdown_started_at.is_some_and(|started_at| received_at > started_at) {
             // The process may end before the query does: another pooler has all the time for it.
             context.counters.rejected += 1;
             let retry_after = service.shutdown_retry_after;
@@ -181,12 +183,12 @@
         query.statement.memory = Some(memory);
         self.state = State::Busy;
         self.has_queried = true;
-        context.events.push_back(Event::QueryReceived(id, query));
+        context.events.push_back(Event::QueryReceived { client: id, query, received_at });
         Ok(())
     }
 
     /// Returns when the last byte of the message that was just taken off the input buffer was received.
-    fn message_received_at(&mut self) -> f64 {
+    fn message_received_at(&mut self) -> Instant {
         self.arrival_times.received_at(self.input.total_consumed()).unwrap_or(self.last_active)
     }
 }
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -10,15 +10,15 @@
 use super::*;
 use crate::net::reactor::{EventSource, Reactor};
 
-/// The longest deadline of the classes of requests (seconds).
-const LONGEST_DEADLINE: f64 = 8.0;
+/// The longest deadline of the classes of requests.
+const LONGEST_DEADLINE: Duration = Duration::from_secs(8);
 const MEMORY: usize = 1_000_000;
 /// Less than the kernel's buffers would otherwise hold.
 const SOCKET_BUFFER: usize = 4096;
 /// More than fits into the buffers of both sockets.
 static LONG_RESPONSE: [u8; 150_000] = [b'x'; 150_000];
-/// Long after the time in which a client has to read its last message once it is written (seconds).
-const LONG_AFTER_LINGER: f64 = 1.9;
+/// Long after the time in which a client has to read its last message once it is written.
+const LONG_AFTER_LINGER: Duration = Duration::from_millis(1900);
 /// A startup message without parameters.
 const STARTUP: &[u8] = b"\0\0\0\x09\0\x03\0\0\0";
 /// Keys of connections start with this message type.
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -2,6 +2,7 @@
 
 use std::ops::Range;
 use std::rc::Rc;
+use std::time::{Duration, Instant};
 
 use super::buffer::MemoryReservation;
 use super::postgres::CancelKey;
@@ -21,11 +22,11 @@
 }
 
 impl Statement {
-    /// The text with another timeout (seconds), which is written in whole milliseconds, at least one.
-    pub fn with_timeout(&self, seconds: f64) -> Vec<u8> {
+    /// The text with another timeout, which is written in whole milliseconds, at least one.
+    pub fn with_timeout(&self, timeout: Duration) -> Vec<u8> {
         let before = &self.text[..self.timeout.start];
         let after = &self.text[self.timeout.end..];
-        let millis = ((seconds * 1000.0) as u64).max(1).to_string();
+        let millis = timeout.as_millis().max(1).to_string();
         [before, &millis, after].concat().into_bytes()
     }
 }
@@ -41,11 +42,10 @@
     pub tenant: String,
     /// The group that holds its data.
     pub group: u32,
-    /// How long the client waits, counted from when the query was received (seconds).
-    pub timeout: f64,
-    /// When its last byte was received (Unix seconds).
-    pub received_at: f64,
-    /// The time of the commit that the query must see, where the client carries one (Unix seconds).
+    /// How long the client waits, counted from when the query was received.
+    pub timeout: Duration,
+    /// The time of the commit that the query must see, where the client carries one (Unix seconds on the clock
+    /// of the database hosts).
     pub session_token: Option<f64>,
     /// Whether the query carries an idempotency key.
     pub has_idempotency_key: bool,
@@ -81,8 +81,8 @@
     Value(Vec<u8>),
     /// The query was not executed; a retry is harmless.
     Rejected {
-        /// How long the client should wait before it retries (seconds); 0 for no advice.
-        retry_after: f64,
+        /// How long the client should wait before it retries; zero for no advice.
+        retry_after: Duration,
     },
     /// No answer was received; the query may have been executed.
     Failed,
@@ -111,9 +111,9 @@
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent (seconds).
-    pub elapsed: f64,
-    /// The log position that came with the answer.
+    /// Time since it was handed to the backend.
+    pub elapsed: Duration,
+    /// The log position that came with the answer (Unix seconds on the clock of the database hosts).
     pub log_position: Option<f64>,
     /// The role that came with the answer: true from a primary.
     pub primary: Option<bool>,
@@ -127,7 +127,14 @@
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A client has sent a query.
-    QueryReceived(ConnectionId, Box<Query>),
+    QueryReceived {
+        /// The connection of the client.
+        client: ConnectionId,
+        /// The query.
+        query: Box<Query>,
+        /// When its last byte was received.
+        received_at: Instant,
+    },
     /// A client has disconnected while its query was in progress.
     ClientDisconnected(ConnectionId),
     /// The cancellation of the query of the client with this key was requested.
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -1,8 +1,10 @@
 //! Executes the actions of the policy.
 
+use std::time::Duration;
+
 use super::Pooler;
 use crate::interface::{Action, EndpointId, RequestId, StateChange};
-use crate::net::reactor::TimerEvent;
+use crate::net::reactor::{saturating_duration, TimerEvent};
 use crate::net::{Context, Response, Task};
 
 impl Pooler {
@@ -15,17 +17,23 @@
 
     fn execute_one(&mut self, action: Action, context: &mut Context) {
         match action {
-            Action::Send { id, endpoint, timeout } => self.send_attempt(id, &endpoint, timeout, context),
+            Action::Send { id, endpoint, timeout } => {
+                self.send_attempt(id, &endpoint, saturating_duration(timeout), context);
+            }
             Action::CancelAttempt { id, attempt } => {
                 if let Some(connection) = self.requests.connection_of_attempt(&id, attempt) {
                     self.cancel_attempt(connection, context);
                 }
             }
             Action::Reject { id, retry_after } => {
-                self.finish_request(&id, Response::Rejected { retry_after }, context)
+                let retry_after = saturating_duration(retry_after);
+                self.finish_request(&id, Response::Rejected { retry_after }, context);
             }
             Action::Fail { id } => self.finish_request(&id, Response::Failed, context),
-            Action::SetTimer { at, cookie } => context.reactor.set_timer(at, TimerEvent::Policy(cookie)),
+            Action::SetTimer { at, cookie } => {
+                let at = context.reactor.instant_of(at);
+                context.reactor.set_timer(at, TimerEvent::Policy(cookie));
+            }
             Action::HealthCheck { endpoint } => self.send_health_check(&endpoint, context),
             Action::CloseIdleConnections { endpoint } => self.backend.close_idle_connections(&endpoint),
             Action::Watch => self.discovery.listen(context),
@@ -33,7 +41,13 @@
         }
     }
 
-    fn send_attempt(&mut self, id: RequestId, endpoint: &EndpointId, timeout: f64, context: &mut Context) {
+    fn send_attempt(
+        &mut self,
+        id: RequestId,
+        endpoint: &EndpointId,
+        timeout: Duration,
+        context: &mut Context,
+    ) {
         let Some(attempt) = self.requests.start_attempt(&id) else { return };
         context.counters.attempts_sent += 1;
         let task = Task::Attempt(id.clone(), attempt.number, attempt.statement);
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -41,7 +41,7 @@
             attempt,
             outcome,
             request_finished: response.is_some() || client == ClientState::Gone,
-            elapsed: completion.elapsed,
+            elapsed: completion.elapsed.as_secs_f64(),
             log_position: completion.log_position,
             primary: completion.primary,
             report: completion.report,
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -11,6 +11,8 @@
 mod signals;
 mod startup;
 
+use std::time::Duration;
+
 use signal_hook_mio::v1_0::Signals;
 
 use super::backend::Backend;
@@ -47,12 +49,12 @@
     queries: QueryTranslator,
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
-    /// The timeout of a health check (seconds).
-    health_check_timeout: f64,
-    /// The longest deadline of any class of requests (seconds).
-    longest_deadline: f64,
-    /// The Retry-After of queries that are rejected during the shutdown (seconds); 0 for no advice.
-    shutdown_retry_after: f64,
+    /// The timeout of a health check.
+    health_check_timeout: Duration,
+    /// The longest deadline of any class of requests.
+    longest_deadline: Duration,
+    /// The Retry-After of queries that are rejected during the shutdown; zero for no advice.
+    shutdown_retry_after: Duration,
     reload: Reload,
     shutdown: ShutdownState,
 }
@@ -63,7 +65,9 @@
     fn process_events(&mut self, context: &mut Context) {
         while let Some(event) = context.events.pop_front() {
             match event {
-                Event::QueryReceived(client, query) => self.on_query(client, *query, context),
+                Event::QueryReceived { client, query, received_at } => {
+                    self.on_query(client, *query, received_at, context);
+                }
                 Event::ClientDisconnected(client) => self.on_client_disconnected(client, context),
                 Event::CancelRequested(key) => self.on_cancel_request(key, context),
                 Event::TaskCompleted(completion) => self.on_task_completed(*completion, context),
@@ -83,7 +87,8 @@
     /// Passes an event to the policy and returns its actions, which are still to be executed.
     fn decide(&mut self, event: interface::Event, context: &Context) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.policy.handle(context.reactor.now(), event, &mut actions);
+        let now = context.reactor.policy_time(context.reactor.now());
+        self.policy.handle(now, event, &mut actions);
         actions
     }
 
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -1,11 +1,13 @@
 //! Translates the queries of clients into requests for the policy.
 
+use std::time::Instant;
+
 use super::Pooler;
 use crate::config::Config;
 use crate::interface::{self, Request, RequestId};
 use crate::net::messages::InvalidQuery;
 use crate::net::postgres::CancelKey;
-use crate::net::reactor::ConnectionId;
+use crate::net::reactor::{ConnectionId, Reactor};
 use crate::net::{Context, Query, Response};
 use crate::settings::{Consistency, Idempotency};
 
@@ -58,15 +60,26 @@
     }
 
     /// The request that the policy is asked to place.
-    fn request(&self, id: RequestId, class: usize, query: &Query, now: f64) -> Request {
+    fn request(
+        &self,
+        id: RequestId,
+        class: usize,
+        query: &Query,
+        received_at: Instant,
+        reactor: &Reactor,
+    ) -> Request {
+        let now = reactor.now();
+        let waited = now.saturating_duration_since(received_at);
         let session = query.session.as_deref().filter(|_| self.uses_sessions(class));
         Request {
             id,
             class,
             group: query.group,
             // The query may have waited behind others of its connection since it was received.
-            timeout: query.timeout - (now - query.received_at),
-            session_token_age: query.session_token.map(|committed_at| now - committed_at),
+            timeout: query.timeout.as_secs_f64() - waited.as_secs_f64(),
+            session_token_age: query
+                .session_token
+                .map(|committed_at| reactor.policy_time(now) - committed_at),
             session: session.map(Into::into),
             tenant: self.tenant(&query.tenant),
             predicted_work: None,
@@ -77,14 +90,20 @@
 
 impl Pooler {
     /// Passes a client's query to the policy, or rejects it if it is invalid.
-    pub(super) fn on_query(&mut self, client: ConnectionId, query: Query, context: &mut Context) {
+    pub(super) fn on_query(
+        &mut self,
+        client: ConnectionId,
+        query: Query,
+        received_at: Instant,
+        context: &mut Context,
+    ) {
         let class = match self.validate(&query) {
             Ok(class) => class,
             Err(reason) => return self.respond(client, Response::Invalid(reason), context),
         };
         context.counters.requests_received += 1;
         let id = RequestId::from(query.id.as_str());
-        let request = self.queries.request(id.clone(), class, &query, context.reactor.now());
+        let request = self.queries.request(id.clone(), class, &query, received_at, &context.reactor);
         self.requests.insert(id, client, query.statement);
         self.notify_policy(interface::Event::Request(request), context);
     }
--- a/src/net/pooler/signals.rs
+++ b/src/net/pooler/signals.rs
@@ -1,32 +1,33 @@
 //! Handles the signals of the process: graceful shutdown, reload and printing of the counters.
 
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 use signal_hook::consts::{SIGHUP, SIGUSR1};
 
 use super::{Pooler, ShutdownState};
 use crate::config::{Config, ConfigError};
 use crate::interface;
-use crate::net::reactor::TimerEvent;
+use crate::net::reactor::{saturating_duration, TimerEvent};
 use crate::net::Context;
 use crate::settings::Settings;
 
-/// How long connections and queries are accepted after the shutdown was requested (seconds). New connections
+/// How long connections and queries are accepted after the shutdown was requested. New connections
 /// arrive for up to 0.4 s; a query that arrives after 0.7 s is lost if it outlives the process.
-const SHUTDOWN_GRACE_PERIOD: f64 = 0.6;
-/// Retry-After of queries that are rejected during the shutdown, as far as the settings allow one (seconds).
+const SHUTDOWN_GRACE_PERIOD: Duration = Duration::from_millis(600);
+/// Retry-After of queries that are rejected during the shutdown, as far as the settings allow one.
 /// By then another pooler accepts the client's connections.
-const SHUTDOWN_RETRY_AFTER: f64 = 0.05;
+const SHUTDOWN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// The process is killed at the earliest this long after the shutdown was requested and the longest deadline,
-/// which counts up to [`MAX_COUNTED_DEADLINE`] (seconds).
-const KILL_DELAY: f64 = 0.7;
-const MAX_COUNTED_DEADLINE: f64 = 3.0;
-/// How long before the earliest kill the queries are answered that wait behind others (seconds).
-const KILL_MARGIN: f64 = 0.3;
-/// Interval at which queries behind others are looked for from then on (seconds).
-const BLOCKING_REQUEST_INTERVAL: f64 = 0.05;
-/// Interval between two attempts to read the configuration (seconds).
-const RELOAD_RETRY_INTERVAL: f64 = 0.2;
+/// which counts up to [`MAX_COUNTED_DEADLINE`].
+const KILL_DELAY: Duration = Duration::from_millis(700);
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// How long before the earliest kill the queries are answered that wait behind others.
+const KILL_MARGIN: Duration = Duration::from_millis(300);
+/// Interval at which queries behind others are looked for from then on.
+const BLOCKING_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two attempts to read the configuration.
+const RELOAD_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// How often a reload is tried again: for the 4 s after which discovery counts on the new address.
 const MAX_RELOAD_RETRIES: u32 = 20;
 
@@ -43,12 +44,12 @@
     }
 }
 
-/// The Retry-After of queries that are rejected during the shutdown (seconds); 0 for no advice.
-pub(super) fn shutdown_retry_after(settings: &Settings) -> f64 {
+/// The Retry-After of queries that are rejected during the shutdown; zero for no advice.
+pub(super) fn shutdown_retry_after(settings: &Settings) -> Duration {
     if settings.send_retry_after {
-        SHUTDOWN_RETRY_AFTER.min(settings.max_retry_after)
+        SHUTDOWN_RETRY_AFTER.min(saturating_duration(settings.max_retry_after))
     } else {
-        0.0
+        Duration::ZERO
     }
 }
 
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -20,7 +20,7 @@
 use crate::net::buffer::MemoryBudget;
 use crate::net::discovery::Discovery;
 use crate::net::frontend::Frontend;
-use crate::net::reactor::{self, EventSource, Reactor};
+use crate::net::reactor::{self, saturating_duration, EventSource, Reactor};
 use crate::net::{Context, Event};
 use crate::settings::SettingsError;
 use crate::transient_error::{is_transient, retry};
@@ -106,19 +106,21 @@
         let budget = MemoryBudget::new(config.memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
-        let longest_deadline = settings.longest_deadline();
+        let longest_deadline = saturating_duration(settings.longest_deadline());
+        let connect_timeout = saturating_duration(settings.connect_timeout);
+        let keepalive = saturating_duration(config.keepalive);
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
         let mut pooler = Pooler {
             policy,
             frontend,
-            backend: Backend::new(limits.hosts, budget.clone(), config.keepalive, settings.connect_timeout),
+            backend: Backend::new(limits.hosts, budget.clone(), keepalive, connect_timeout),
             discovery: Discovery::new(config.discovery, config.known.index, budget),
             signals,
             requests: RequestTable::default(),
             queries: QueryTranslator::new(config),
             zones: config.zones.clone(),
-            health_check_timeout: settings.connect_timeout,
+            health_check_timeout: connect_timeout,
             longest_deadline,
             shutdown_retry_after: shutdown_retry_after(settings),
             reload: Reload::new(path),
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -72,7 +72,6 @@
         tenant: fields.tenant,
         group: fields.group,
         timeout: fields.timeout,
-        received_at: 0.0,
         session_token: fields.session_token,
         has_idempotency_key: fields.has_idempotency_key,
         client_retry: fields.client_retry,
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -2,6 +2,7 @@
 //! `id=a1, c=read, cluster=2, d=500`.
 
 use std::ops::Range;
+use std::time::Duration;
 
 use super::query::QueryError;
 
@@ -29,8 +30,7 @@
     /// Empty without a tenant.
     pub tenant: String,
     pub group: u32,
-    /// Seconds.
-    pub timeout: f64,
+    pub timeout: Duration,
     /// Where in the query the digits of the timeout are.
     pub timeout_position: Range<usize>,
     /// The commit that the query must see (Unix seconds).
@@ -115,13 +115,13 @@
         let group = parse_group(self.group).ok_or(QueryError::NoGroup)?;
         let id = self.id.ok_or(QueryError::NoId)?;
         let class = self.class.ok_or(QueryError::NoClass)?;
-        let seconds = parse_timeout(&timeout).ok_or(QueryError::InvalidTimeout)?;
+        let duration = parse_timeout(&timeout).ok_or(QueryError::InvalidTimeout)?;
         Ok(CommentFields {
             id: id.text.into(),
             class: class.text.into(),
             tenant: self.tenant.map(|tenant| tenant.text.into()).unwrap_or_default(),
             group,
-            timeout: seconds,
+            timeout: duration,
             timeout_position: timeout.position(),
             session_token,
             has_idempotency_key: self.idempotency_key.is_some(),
@@ -141,10 +141,10 @@
     value?.text.parse().ok()
 }
 
-/// Returns the timeout in seconds, unless it is 0.
-fn parse_timeout(value: &RawValue) -> Option<f64> {
+/// Returns the timeout, unless it is 0.
+fn parse_timeout(value: &RawValue) -> Option<Duration> {
     let millis = parse_millis(value.text)?;
-    (millis > 0).then(|| to_seconds(millis))
+    (millis > 0).then(|| Duration::from_millis(millis))
 }
 
 fn parse_millis(text: &str) -> Option<u64> {
--- a/src/net/postgres/tests/query.rs
+++ b/src/net/postgres/tests/query.rs
@@ -1,5 +1,7 @@
 //! Tests of parsing a client's query and its comment.
 
+use std::time::Duration;
+
 use rstest::rstest;
 
 use super::super::query::QueryError;
@@ -27,7 +29,7 @@
 fn required_fields_suffice() {
     let query = parse_valid(MINIMAL);
     assert_eq!((query.id.as_str(), query.class.as_str(), query.group), ("a1", "read", 2));
-    assert_eq!(query.timeout, 0.5);
+    assert_eq!(query.timeout, Duration::from_millis(500));
     assert_eq!(query.tenant, "");
     assert_eq!(query.session_token, None);
     assert!(!query.has_idempotency_key);
@@ -63,7 +65,8 @@
 #[test]
 fn timeout_is_replaced_in_the_statement() {
     let query = parse_valid("/*d= 500 ,id=a,c=d=500,cluster=2*/ SELECT 500");
-    assert_eq!(query.statement.with_timeout(0.0071), b"/*d= 7 ,id=a,c=d=500,cluster=2*/ SELECT 500");
+    let timeout = Duration::from_micros(7100);
+    assert_eq!(query.statement.with_timeout(timeout), b"/*d= 7 ,id=a,c=d=500,cluster=2*/ SELECT 500");
 }
 
 #[rstest]
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -1,5 +1,6 @@
 //! The event loop: waits for sockets, signals and timers, and calls their handler.
 
+mod clock;
 mod connection_table;
 #[cfg(test)]
 mod tests;
@@ -7,12 +8,14 @@
 mod tokens;
 
 use std::io::{self, ErrorKind};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 use mio::event::Source;
 use mio::{Events, Interest, Poll, Registry};
 
 use super::Context;
+pub(crate) use clock::saturating_duration;
+use clock::Clock;
 pub(crate) use connection_table::{ConnectionId, ConnectionTable};
 pub(crate) use timers::TimerEvent;
 use timers::TimerQueue;
@@ -22,15 +25,10 @@
 const MAX_EVENTS_PER_POLL: usize = 256;
 
 /// The registry of event sources, the timers and the clock.
-///
-/// The clock is read once at the start and is monotonic from then on, so that setting the system clock
-/// neither delays nor fires a timer.
 pub(crate) struct Reactor {
     registry: Registry,
     timers: TimerQueue,
-    /// Unix seconds at `started`.
-    started_at: f64,
-    started: Instant,
+    clock: Clock,
     /// How many registrations are still to fail, as the system lets them when it has no memory.
     #[cfg(test)]
     pub failing_registrations: usize,
@@ -39,12 +37,10 @@
 impl Reactor {
     /// Creates a reactor whose registry belongs to `poll`.
     pub fn new(poll: &Poll) -> io::Result<Reactor> {
-        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Ok(Reactor {
             registry: poll.registry().try_clone()?,
             timers: TimerQueue::default(),
-            started_at: since_epoch.as_secs_f64(),
-            started: Instant::now(),
+            clock: Clock::start(),
             #[cfg(test)]
             failing_registrations: 0,
         })
@@ -65,20 +61,32 @@
         self.registry.register(source, name.into(), interest)
     }
 
-    /// Returns the present time (Unix seconds).
-    pub fn now(&self) -> f64 {
-        self.started_at + self.started.elapsed().as_secs_f64()
+    /// Returns the present time of the monotonic clock. Each call reads the clock anew.
+    pub fn now(&self) -> Instant {
+        Instant::now()
     }
 
-    /// Sets a timer that expires at `at` (Unix seconds).
-    pub fn set_timer(&mut self, at: f64, event: TimerEvent) {
+    /// Returns the policy's time at an instant (seconds since the Unix epoch, by the system clock at the
+    /// start and the monotonic clock since).
+    pub fn policy_time(&self, instant: Instant) -> f64 {
+        self.clock.policy_time(instant)
+    }
+
+    /// Returns the instant of a policy's time. Never fails: a time out of range counts as the start or as a
+    /// hundred years later.
+    pub fn instant_of(&self, policy_time: f64) -> Instant {
+        self.clock.instant_of(policy_time)
+    }
+
+    /// Sets a timer that expires at `at`.
+    pub fn set_timer(&mut self, at: Instant, event: TimerEvent) {
         self.timers.push(at, event);
     }
 
     /// Returns the time until the next timer expires, or `None` without timers.
     fn poll_timeout(&self) -> Option<Duration> {
-        let seconds = self.timers.next_expiry()? - self.now();
-        Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO))
+        let next_expiry = self.timers.next_expiry()?;
+        Some(next_expiry.saturating_duration_since(self.now()))
     }
 }
 
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,10 +1,14 @@
-//! Tests of the connection table, the event tokens and the timer queue.
+//! Tests of the connection table, the event tokens, the timer queue and the clock.
 
 use mio::Token;
+use rstest::rstest;
 
 use super::connection_table::MAX_GENERATION;
 use super::*;
 
+/// A time of the system clock (Unix seconds).
+const UNIX_SECONDS: f64 = 1_764_700_000.0;
+
 #[test]
 fn stale_connection_id_does_not_reach_the_next_connection_in_its_slot() {
     let mut connections = ConnectionTable::new();
@@ -45,15 +49,63 @@
 
 #[test]
 fn timers_expire_by_time_and_then_in_the_order_set() {
+    let start = Instant::now();
+    let after = |seconds: f64| start + Duration::from_secs_f64(seconds);
     let mut timers = TimerQueue::default();
-    timers.push(2.0, TimerEvent::Policy(3));
-    timers.push(1.0, TimerEvent::Policy(1));
-    timers.push(1.0, TimerEvent::Policy(2));
-    assert_eq!(timers.next_expiry(), Some(1.0));
-    assert_eq!(timers.pop_expired(0.5), None, "too early");
-    assert_eq!(timers.pop_expired(1.0), Some(TimerEvent::Policy(1)));
-    assert_eq!(timers.pop_expired(1.0), Some(TimerEvent::Policy(2)));
-    assert_eq!(timers.pop_expired(1.0), None, "the last one expires later");
-    assert_eq!(timers.pop_expired(2.0), Some(TimerEvent::Policy(3)));
+    timers.push(after(2.0), TimerEvent::Policy(3));
+    timers.push(after(1.0), TimerEvent::Policy(1));
+    timers.push(after(1.0), TimerEvent::Policy(2));
+    assert_eq!(timers.next_expiry(), Some(after(1.0)));
+    assert_eq!(timers.pop_expired(after(0.5)), None, "too early");
+    assert_eq!(timers.pop_expired(after(1.0)), Some(TimerEvent::Policy(1)));
+    assert_eq!(timers.pop_expired(after(1.0)), Some(TimerEvent::Policy(2)));
+    assert_eq!(timers.pop_expired(after(1.0)), None, "the last one expires later");
+    assert_eq!(timers.pop_expired(after(2.0)), Some(TimerEvent::Policy(3)));
     assert_eq!(timers.next_expiry(), None);
 }
+
+/// A policy that sets a timer must not be called before the time that it asked for.
+#[test]
+fn a_timer_of_the_policy_expires_at_its_time_and_not_before() {
+    let mut rng = fastrand::Rng::with_seed(7);
+    for _ in 0..10_000 {
+        let clock = Clock::new(Instant::now(), UNIX_SECONDS + rng.f64());
+        let now = clock.policy_time(Instant::now() + Duration::from_secs(1000).mul_f64(rng.f64()));
+        let expires_at = now + rng.f64();
+        assert_eq!(clock.policy_time(clock.instant_of(expires_at)), expires_at);
+    }
+}
+
+#[rstest]
+#[case::the_start(UNIX_SECONDS, 0)]
+#[case::after_the_start(UNIX_SECONDS + 1.5, 1500)]
+#[case::before_the_start(UNIX_SECONDS - 1.5, 0)]
+#[case::zero(0.0, 0)]
+#[case::minus_infinity(f64::NEG_INFINITY, 0)]
+fn a_time_of_the_policy_is_an_instant_from_the_start_on(#[case] policy_time: f64, #[case] millis: u64) {
+    let start = Instant::now();
+    let clock = Clock::new(start, UNIX_SECONDS);
+    assert_eq!(clock.instant_of(policy_time), start + Duration::from_millis(millis));
+}
+
+#[rstest]
+#[case::large(1e18)]
+#[case::largest(f64::MAX)]
+#[case::infinite(f64::INFINITY)]
+#[case::not_a_number(f64::NAN)]
+fn a_time_that_is_out_of_range_never_comes(#[case] seconds: f64) {
+    let start = Instant::now();
+    let clock = Clock::new(start, UNIX_SECONDS);
+    let fifty_years = Duration::from_secs(50 * 365 * 24 * 60 * 60);
+    assert!(clock.instant_of(seconds) > start + fifty_years);
+    assert!(saturating_duration(seconds) > fifty_years);
+}
+
+#[rstest]
+#[case(0.25, Duration::from_millis(250))]
+#[case(0.0, Duration::ZERO)]
+#[case(-0.25, Duration::ZERO)]
+#[case(f64::NEG_INFINITY, Duration::ZERO)]
+fn a_negative_duration_counts_as_zero(#[case] seconds: f64, #[case] expected: Duration) {
+    assert_eq!(saturating_duration(seconds), expected);
+}
--- a/src/net/reactor/timers.rs
+++ b/src/net/reactor/timers.rs
@@ -2,6 +2,7 @@
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
+use std::time::Instant;
 
 use super::connection_table::ConnectionId;
 
@@ -31,14 +32,14 @@
 /// A timer in the queue. Timers are ordered by time, and at the same time by the order in which they were
 /// set.
 struct Timer {
-    expires_at: f64,
+    expires_at: Instant,
     sequence: u64,
     event: TimerEvent,
 }
 
 impl Ord for Timer {
     fn cmp(&self, other: &Self) -> Ordering {
-        let by_time = self.expires_at.total_cmp(&other.expires_at);
+        let by_time = self.expires_at.cmp(&other.expires_at);
         by_time.then(self.sequence.cmp(&other.sequence))
     }
 }
@@ -66,20 +67,20 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer that expires at `expires_at` (Unix seconds).
-    pub fn push(&mut self, expires_at: f64, event: TimerEvent) {
+    /// Adds a timer that expires at `expires_at`.
+    pub fn push(&mut self, expires_at: Instant, event: TimerEvent) {
         self.timers_set += 1;
         self.timers.push(Reverse(Timer { expires_at, sequence: self.timers_set, event }));
     }
 
-    /// Returns when the next timer expires (Unix seconds).
-    pub fn next_expiry(&self) -> Option<f64> {
+    /// Returns when the next timer expires.
+    pub fn next_expiry(&self) -> Option<Instant> {
         let Reverse(next) = self.timers.peek()?;
         Some(next.expires_at)
     }
 
     /// Removes the next timer that has expired at `now`.
-    pub fn pop_expired(&mut self, now: f64) -> Option<TimerEvent> {
+    pub fn pop_expired(&mut self, now: Instant) -> Option<TimerEvent> {
         if self.next_expiry()? > now {
             return None;
         }
