--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -19,13 +19,14 @@
 mod session;
 
 use std::io;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use mio::net::TcpListener;
 
 use super::buffer::MemoryBudget;
 use super::postgres::CancelKey;
 use super::reactor::{ConnectionId, ConnectionTable, TimerEvent};
+use super::shutdown::Drain;
 use super::{Context, Event, Response};
 use crate::counters::Counters;
 use acceptor::Acceptor;
@@ -36,10 +37,8 @@
 struct ServiceStatus {
     /// Set once there is an endpoint to which queries can be sent.
     ready: bool,
-    /// When the shutdown started. Queries received later are rejected.
-    shutdown_started_at: Option<Instant>,
-    /// When to retry a query that is rejected during the shutdown; zero for no advice.
-    shutdown_retry_after: Duration,
+    /// Set once the connections are drained for the shutdown.
+    drain: Option<Drain>,
 }
 
 /// All client connections, and the acceptor of new ones.
@@ -161,12 +160,11 @@
 
     /// Stops accepting once no connection waits, and closes each one as soon as all its queries are answered.
     /// Later queries are rejected with this Retry-After; zero for no advice.
-    pub fn start_shutdown(&mut self, retry_after: Duration, context: &mut Context) {
-        self.service.shutdown_retry_after = retry_after;
+    pub fn start_draining(&mut self, retry_after: Duration, context: &mut Context) {
         // Connections and queries that have arrived by now are still served.
         self.acceptor.start_closing();
         self.accept(context);
-        self.service.shutdown_started_at = Some(context.reactor.now());
+        self.service.drain = Some(Drain::new(context.reactor.now(), retry_after));
         let all: Vec<ConnectionId> = self.connections.iter().map(|(id, _)| id).collect();
         for id in all {
             self.ready(id, context);
@@ -191,7 +189,7 @@
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_busy = connection.state == State::Busy;
-        if self.service.shutdown_started_at.is_some() && result.is_ok() && connection.can_close() {
+        if self.service.drain.is_some() && result.is_ok() && connection.can_close() {
             connection.start_closing(id, context);
             result = connection.poll(id, self.service, context);
         }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -169,11 +169,9 @@
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
         let received_at = self.message_received_at();
-        if service.shutdown_started_at.is_some_and(|started_at| received_at > started_at) {
-            // The process may end before the query does: another pooler has all the time for it.
+        if let Some(drain) = service.drain.filter(|drain| drain.rejects(received_at)) {
             context.counters.rejected += 1;
-            let retry_after = service.shutdown_retry_after;
-            return self.send_rejection(sqlstate::CANNOT_CONNECT_NOW, "shutting down", retry_after);
+            return self.send_rejection(sqlstate::CANNOT_CONNECT_NOW, "shutting down", drain.retry_after());
         }
         // Each statement is within its own limit, but many of them together may exceed the memory.
         let Ok(memory) = self.input.reserve_memory(query.statement.text.len()) else {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,6 +9,7 @@
 mod pooler;
 mod postgres;
 mod reactor;
+mod shutdown;
 
 use std::collections::VecDeque;
 
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -7,6 +7,7 @@
 mod completions;
 mod endpoints;
 mod queries;
+mod reload;
 mod request_table;
 mod signals;
 mod startup;
@@ -19,25 +20,15 @@
 use super::discovery::Discovery;
 use super::frontend::Frontend;
 use super::reactor::{ConnectionId, EventSource, Handler, TimerEvent};
+use super::shutdown::GracefulShutdown;
 use super::{Context, Event, Response};
 use crate::interface::{self, Action};
 use crate::Policy;
 use queries::QueryTranslator;
+use reload::ConfigReload;
 use request_table::RequestTable;
-use signals::Reload;
 pub(crate) use startup::{serve, ServeError};
 
-/// How far the graceful shutdown has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ShutdownState {
-    /// No shutdown was requested.
-    Running,
-    /// A shutdown was requested. Connections and queries are still accepted.
-    GracePeriod,
-    /// No connection is accepted any more. Each open one is closed once its queries are answered.
-    Closing,
-}
-
 /// The pooler: the policy and the connections that it decides about.
 struct Pooler {
     policy: Policy,
@@ -51,12 +42,8 @@
     zones: Vec<String>,
     /// The timeout of a health check.
     health_check_timeout: Duration,
-    /// The longest deadline of any class of requests.
-    longest_deadline: Duration,
-    /// The Retry-After of queries that are rejected during the shutdown; zero for no advice.
-    shutdown_retry_after: Duration,
-    reload: Reload,
-    shutdown: ShutdownState,
+    reload: ConfigReload,
+    shutdown: GracefulShutdown,
 }
 
 impl Pooler {
@@ -97,6 +84,22 @@
         self.frontend.respond(client, response, context);
     }
 
+    /// Stops accepting connections and closes each open one once its queries are answered.
+    fn start_draining(&mut self, context: &mut Context) {
+        let retry_after = self.shutdown.start_draining();
+        self.frontend.start_draining(retry_after, context);
+    }
+
+    /// Ends each request behind which others wait on its connection, since the process may soon be killed.
+    fn end_blocking_requests(&mut self, context: &mut Context) {
+        for client in self.frontend.clients_with_waiting_input() {
+            if let Some(id) = self.requests.request_of(client) {
+                self.notify_policy(interface::Event::Expired { id }, context);
+            }
+        }
+        self.shutdown.schedule_next_search(&mut context.reactor);
+    }
+
     /// Gives up the attempt that runs on a connection to a database host.
     fn cancel_attempt(&mut self, connection: ConnectionId, context: &mut Context) {
         self.backend.cancel(connection, context);
@@ -124,7 +127,7 @@
             TimerEvent::Client(client) => self.frontend.timer_expired(client, context),
             TimerEvent::Server(connection) => self.backend.timer_expired(connection, context),
             TimerEvent::Discovery(watch) => self.discovery.timer_expired(watch, context),
-            TimerEvent::GracePeriodOver => self.on_grace_period_over(context),
+            TimerEvent::GracePeriodOver => self.start_draining(context),
             TimerEvent::KillImminent => self.end_blocking_requests(context),
             TimerEvent::RetryReload => self.retry_reload(context),
         }
@@ -132,6 +135,6 @@
     }
 
     fn finished(&self) -> bool {
-        self.shutdown == ShutdownState::Closing && self.frontend.is_finished()
+        self.shutdown.is_draining() && self.frontend.is_finished()
     }
 }
--- /dev/null
+++ b/src/net/pooler/reload.rs
@@ -0,0 +1,90 @@
+//! Reads the configuration file again after SIGHUP.
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use super::Pooler;
+use crate::config::{Config, ConfigError};
+use crate::net::reactor::TimerEvent;
+use crate::net::Context;
+
+/// Interval between two attempts to read the configuration.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// How often reading is retried: for the 4 s after which discovery counts on the new address.
+const MAX_RETRIES: u32 = 20;
+
+/// The configuration file, and how often reading it may still be retried for the last signal.
+pub(super) struct ConfigReload {
+    path: PathBuf,
+    retries_left: u32,
+}
+
+impl ConfigReload {
+    /// No reload is due.
+    pub fn new(path: &Path) -> ConfigReload {
+        ConfigReload { path: path.to_path_buf(), retries_left: 0 }
+    }
+
+    /// Reads the file. Once that has succeeded, no retry is due any more.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the file cannot be read or is not a valid configuration.
+    fn load(&mut self) -> Result<Config, ConfigError> {
+        let config = Config::load(&self.path)?;
+        self.retries_left = 0;
+        Ok(config)
+    }
+
+    /// Allows retries where the file could not be read: the system may lack a descriptor for a moment. An
+    /// invalid file is not retried. Returns whether a retry is due.
+    fn allow_retries_after(&mut self, error: &ConfigError) -> bool {
+        let may_pass = matches!(error, ConfigError::Read { .. });
+        if may_pass {
+            self.retries_left = MAX_RETRIES;
+        }
+        may_pass
+    }
+
+    /// Takes one of the retries that are left. Returns whether there was one.
+    fn take_retry(&mut self) -> bool {
+        let is_due = self.retries_left > 0;
+        self.retries_left = self.retries_left.saturating_sub(1);
+        is_due
+    }
+}
+
+impl Pooler {
+    /// Reads the configuration file again after a signal. A file that is invalid or cannot be read changes
+    /// nothing.
+    pub(super) fn reload(&mut self, context: &mut Context) {
+        let Err(error) = self.try_reload(context) else { return };
+        context.counters.reload_failures += 1;
+        tracing::warn!(%error, "reload failed, keeping the configuration");
+        if self.reload.allow_retries_after(&error) {
+            schedule_retry(context);
+        }
+    }
+
+    /// Retries a reload that has failed, unless another one has succeeded since.
+    pub(super) fn retry_reload(&mut self, context: &mut Context) {
+        if self.reload.take_retry() && self.try_reload(context).is_err() {
+            schedule_retry(context);
+        }
+    }
+
+    /// Takes the address of discovery from the configuration file. The rest holds from the next start, since
+    /// requests in progress were accepted under it.
+    fn try_reload(&mut self, context: &mut Context) -> Result<(), ConfigError> {
+        let config = self.reload.load()?;
+        context.counters.reloads += 1;
+        tracing::info!(discovery = %config.discovery, "configuration reloaded");
+        self.discovery.move_to(config.discovery, context);
+        Ok(())
+    }
+}
+
+fn schedule_retry(context: &mut Context) {
+    let at = context.reactor.now() + RETRY_INTERVAL;
+    context.reactor.set_timer(at, TimerEvent::RetryReload);
+}
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -10,9 +10,9 @@
 use signal_hook_mio::v1_0::Signals;
 
 use super::queries::QueryTranslator;
+use super::reload::ConfigReload;
 use super::request_table::RequestTable;
-use super::signals::{shutdown_retry_after, Reload};
-use super::{Pooler, ShutdownState};
+use super::Pooler;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::interface::UpdateKind;
@@ -21,6 +21,7 @@
 use crate::net::discovery::Discovery;
 use crate::net::frontend::Frontend;
 use crate::net::reactor::{self, saturating_duration, EventSource, Reactor};
+use crate::net::shutdown::GracefulShutdown;
 use crate::net::{Context, Event};
 use crate::settings::SettingsError;
 use crate::transient_error::{is_transient, retry};
@@ -108,6 +109,8 @@
         let clients = limits.clients;
         let longest_deadline = saturating_duration(settings.longest_deadline());
         let connect_timeout = saturating_duration(settings.connect_timeout);
+        let max_retry_after =
+            settings.send_retry_after.then(|| saturating_duration(settings.max_retry_after));
         let keepalive = saturating_duration(config.keepalive);
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
@@ -121,10 +124,8 @@
             queries: QueryTranslator::new(config),
             zones: config.zones.clone(),
             health_check_timeout: connect_timeout,
-            longest_deadline,
-            shutdown_retry_after: shutdown_retry_after(settings),
-            reload: Reload::new(path),
-            shutdown: ShutdownState::Running,
+            reload: ConfigReload::new(path),
+            shutdown: GracefulShutdown::new(longest_deadline, max_retry_after),
         };
         let cached_endpoints = config.known.endpoints.clone();
         context.events.push_back(Event::EndpointsUpdated(UpdateKind::Cached, cached_endpoints));
