--- a/src/net/backend/exchange.rs
+++ b/src/net/backend/exchange.rs
@@ -29,8 +29,8 @@
     /// The Query message for the task. A statement announces the time that is left until the deadline.
     pub fn query_message(&self, now: Instant) -> Vec<u8> {
         match &self.task {
-            Task::Attempt(_, _, statement) => {
-                let sql = statement.with_timeout(self.deadline.saturating_duration_since(now));
+            Task::Attempt(attempt) => {
+                let sql = attempt.statement.with_timeout(self.deadline.saturating_duration_since(now));
                 postgres::query_message(&sql)
             }
             Task::HealthCheck => postgres::query_message(LOAD_REPORT_QUERY),
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -88,7 +88,7 @@
         if let Some(id) = self.pool.take_idle(endpoint) {
             if let Some(connection) = self.pool.get_mut(id) {
                 let progress = connection.start(exchange, now, self.connect_timeout);
-                context.reactor.set_timer(connection.state_deadline, TimerEvent::Server(id));
+                context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
                 self.handle_progress(id, progress, context);
                 return Some(id);
             }
@@ -130,9 +130,9 @@
     /// Sets the timer of a new connection and registers it for events.
     fn register(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
-        context.reactor.set_timer(connection.state_deadline, TimerEvent::Server(id));
+        context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
         let interests = Interest::READABLE | Interest::WRITABLE;
-        let source = EventSource::Server(id);
+        let source = EventSource::Backend(id);
         if context.reactor.register(&mut connection.stream, source, interests).is_err() {
             // The host is not to blame for a shortage of this machine.
             self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
@@ -146,7 +146,7 @@
         let previous_deadline = connection.state_deadline;
         let progress = connection.poll(now, self.connect_timeout);
         if connection.state_deadline != previous_deadline {
-            context.reactor.set_timer(connection.state_deadline, TimerEvent::Server(id));
+            context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
         }
         self.handle_progress(id, progress, context);
     }
@@ -206,7 +206,7 @@
             context.counters.unsolicited_messages += 1;
         }
         let endpoint = connection.endpoint.clone();
-        context.reactor.set_timer(idle_deadline, TimerEvent::Server(id));
+        context.reactor.set_timer(idle_deadline, TimerEvent::Backend(id));
         self.pool.release(id);
         // Without a complete result set the reply is invalid, but the request may have been executed.
         let outcome = reply.outcome().unwrap_or(Outcome::Error);
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -135,7 +135,7 @@
                 }
                 Ok(())
             }
-            Task::Attempt(..) => self.append_to_value(message, value_memory),
+            Task::Attempt(_) => self.append_to_value(message, value_memory),
         }
     }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -92,13 +92,23 @@
     Invalid(InvalidQuery),
 }
 
-/// Something to send to a database host.
+/// One attempt to have a request executed.
+#[derive(Clone, Debug)]
+pub(crate) struct Attempt {
+    /// The request.
+    pub request: RequestId,
+    /// The number of the attempt among those of its request, from 0.
+    pub number: usize,
+    /// What to send.
+    pub statement: Rc<Statement>,
+}
+
+/// Something to send to an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) enum Task {
-    /// An attempt of a request: its request, its number among the attempts of that request, and its
-    /// statement.
-    Attempt(RequestId, usize, Rc<Statement>),
-    /// A health check of the host.
+    /// An attempt of a request.
+    Attempt(Attempt),
+    /// A health check of the endpoint.
     HealthCheck,
 }
 
@@ -107,7 +117,7 @@
 pub(crate) struct Completion {
     /// The task.
     pub task: Task,
-    /// The host that it was sent to.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
     /// How it ended.
     pub outcome: Outcome,
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -48,11 +48,11 @@
         timeout: Duration,
         context: &mut Context,
     ) {
-        let Some(attempt) = self.requests.start_attempt(&id) else { return };
+        let Some(attempt) = self.requests.start_attempt(id.clone()) else { return };
         context.counters.attempts_sent += 1;
-        let task = Task::Attempt(id.clone(), attempt.number, attempt.statement);
-        let connection = self.backend.send(task, endpoint, timeout, context);
-        self.requests.attempt_sent(&id, attempt.number, connection);
+        let number = attempt.number;
+        let connection = self.backend.send(Task::Attempt(attempt), endpoint, timeout, context);
+        self.requests.attempt_sent(&id, number, connection);
     }
 
     fn send_health_check(&mut self, endpoint: &EndpointId, context: &mut Context) {
@@ -65,7 +65,7 @@
         if let Some(client) = self.requests.take_client(id) {
             self.respond(client, response, context);
         }
-        // An attempt that has not reached its host must not begin after the final answer.
+        // An attempt that has not reached its endpoint must not begin after the final answer.
         for connection in self.requests.connections(id) {
             self.backend.cancel_unsent(connection, context);
         }
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -2,19 +2,16 @@
 
 use super::request_table::ClientState;
 use super::Pooler;
-use crate::interface::{self, AttemptResult, Outcome, RequestId};
+use crate::interface::{self, AttemptResult, Outcome};
 use crate::net::messages::InvalidQuery;
-use crate::net::{Completion, Context, Response, Task};
+use crate::net::{Attempt, Completion, Context, Response, Task};
 
 impl Pooler {
     /// Reports the end of a task to the policy and answers the client if the end decides its request.
     pub(super) fn on_task_completed(&mut self, completion: Completion, context: &mut Context) {
         match &completion.task {
             Task::HealthCheck => self.on_health_check_completed(completion, context),
-            Task::Attempt(id, number, _) => {
-                let (id, number) = (id.clone(), *number);
-                self.on_attempt_completed(id, number, completion, context);
-            }
+            Task::Attempt(attempt) => self.on_attempt_completed(attempt.clone(), completion, context),
         }
     }
 
@@ -24,29 +21,24 @@
         self.notify_policy(interface::Event::HealthChecked { endpoint, outcome, report }, context);
     }
 
-    fn on_attempt_completed(
-        &mut self,
-        id: RequestId,
-        attempt: usize,
-        completion: Completion,
-        context: &mut Context,
-    ) {
+    fn on_attempt_completed(&mut self, attempt: Attempt, completion: Completion, context: &mut Context) {
+        let Attempt { request: id, number, .. } = attempt;
         let outcome = completion.outcome;
         context.counters.attempt_outcomes.record(outcome);
-        let Some(client) = self.requests.attempt_finished(&id, attempt) else { return };
+        let Some(client) = self.requests.attempt_finished(&id, number) else { return };
         let response = final_response(outcome, completion.value);
         let result = AttemptResult {
             id: id.clone(),
             endpoint: completion.endpoint,
-            attempt,
+            attempt: number,
             outcome,
-            request_finished: response.is_some() || client == ClientState::Gone,
+            request_finished: response.is_some() || client == ClientState::NotWaiting,
             elapsed: completion.elapsed.as_secs_f64(),
             log_position: completion.log_position,
             primary: completion.primary,
             report: completion.report,
         };
-        // The policy learns what the answer tells about the host before the client can act on the answer.
+        // The policy learns what the answer says of the endpoint before the client can act on the answer.
         let actions = self.decide(interface::Event::AttemptFinished(result), context);
         match response {
             Some(response) => self.finish_request(&id, response, context),
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -19,7 +19,7 @@
 use super::backend::Backend;
 use super::discovery::Discovery;
 use super::frontend::Frontend;
-use super::reactor::{ConnectionId, EventSource, Handler, TimerEvent};
+use super::reactor::{ConnectionId, EventSource, Handler, Readiness, TimerEvent};
 use super::shutdown::GracefulShutdown;
 use super::{Context, Event, Response};
 use crate::interface::{self, Action};
@@ -100,20 +100,22 @@
         self.shutdown.schedule_next_search(&mut context.reactor);
     }
 
-    /// Gives up the attempt that runs on a connection to a database host.
+    /// Gives up the attempt that runs on a connection to an endpoint.
     fn cancel_attempt(&mut self, connection: ConnectionId, context: &mut Context) {
         self.backend.cancel(connection, context);
     }
 }
 
 impl Handler for Pooler {
-    fn ready(&mut self, source: EventSource, hung_up: bool, context: &mut Context) {
+    fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context) {
         match source {
             EventSource::Listener => self.frontend.accept(context),
             EventSource::Signals => self.on_signals(context),
-            EventSource::Client(client) if hung_up => self.frontend.client_disconnected(client, context),
-            EventSource::Client(client) => self.frontend.ready(client, context),
-            EventSource::Server(connection) => self.backend.ready(connection, context),
+            EventSource::Client(client) => match readiness {
+                Readiness::Ready => self.frontend.ready(client, context),
+                Readiness::Disconnected => self.frontend.client_disconnected(client, context),
+            },
+            EventSource::Backend(connection) => self.backend.ready(connection, context),
             EventSource::Discovery(watch) => self.discovery.ready(watch, context),
         }
         self.process_events(context);
@@ -125,7 +127,7 @@
             TimerEvent::RetryAccept => self.frontend.accept(context),
             TimerEvent::IdleSweep => self.frontend.close_idle(context),
             TimerEvent::Client(client) => self.frontend.timer_expired(client, context),
-            TimerEvent::Server(connection) => self.backend.timer_expired(connection, context),
+            TimerEvent::Backend(connection) => self.backend.timer_expired(connection, context),
             TimerEvent::Discovery(watch) => self.discovery.timer_expired(watch, context),
             TimerEvent::GracePeriodOver => self.start_draining(context),
             TimerEvent::KillImminent => self.end_blocking_requests(context),
--- a/src/net/pooler/request_table/mod.rs
+++ b/src/net/pooler/request_table/mod.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::interface::RequestId;
-use crate::net::messages::Statement;
+use crate::net::messages::{Attempt, Statement};
 use crate::net::reactor::ConnectionId;
 
 /// An attempt that was sent and has not ended yet.
@@ -35,15 +35,6 @@
     }
 }
 
-/// An attempt that is about to be sent.
-#[derive(Debug)]
-pub(super) struct NextAttempt {
-    /// The number of the attempt among those of its request, from 0.
-    pub number: usize,
-    /// What to send.
-    pub statement: Rc<Statement>,
-}
-
 /// A request whose client has disconnected.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct AbandonedRequest {
@@ -59,7 +50,7 @@
     /// The client waits for its answer.
     Waiting,
     /// The client has its answer or has disconnected.
-    Gone,
+    NotWaiting,
 }
 
 /// All requests in progress, by their identifier and by the client that waits for them.
@@ -92,11 +83,11 @@
     }
 
     /// Numbers the next attempt of a request; none where the request is not in progress.
-    pub fn start_attempt(&mut self, id: &str) -> Option<NextAttempt> {
-        let request = self.requests.get_mut(id)?;
+    pub fn start_attempt(&mut self, id: RequestId) -> Option<Attempt> {
+        let request = self.requests.get_mut(&id)?;
         let number = request.attempts;
         request.attempts += 1;
-        Some(NextAttempt { number, statement: request.statement.clone() })
+        Some(Attempt { request: id, number, statement: request.statement.clone() })
     }
 
     /// Records that an attempt was sent, and on which connection.
@@ -121,7 +112,7 @@
     pub fn attempt_finished(&mut self, id: &str, number: usize) -> Option<ClientState> {
         let request = self.requests.get_mut(id)?;
         request.in_flight.retain(|attempt| attempt.number != number);
-        Some(if request.client.is_some() { ClientState::Waiting } else { ClientState::Gone })
+        Some(if request.client.is_some() { ClientState::Waiting } else { ClientState::NotWaiting })
     }
 
     /// Records that a client has disconnected; none where it waits for no request. The request stays in the
@@ -139,7 +130,7 @@
         self.by_client.get(&client).cloned()
     }
 
-    /// The client that is owed the final answer, which is to be sent now; none where there is no such client.
+    /// Takes the client that waits for the final answer, which is to be sent now; none where no client does.
     pub fn take_client(&mut self, id: &str) -> Option<ConnectionId> {
         let client = self.requests.get_mut(id)?.client.take()?;
         self.by_client.remove(&client);
--- a/src/net/pooler/request_table/tests.rs
+++ b/src/net/pooler/request_table/tests.rs
@@ -26,7 +26,7 @@
 
 /// Starts an attempt that runs on `connection`, and returns its number.
 fn send_attempt(table: &mut RequestTable, connection: Option<ConnectionId>) -> usize {
-    let attempt = table.start_attempt(ID).expect("the request is in progress");
+    let attempt = table.start_attempt(ID.into()).expect("the request is in progress");
     table.attempt_sent(ID, attempt.number, connection);
     attempt.number
 }
@@ -36,7 +36,7 @@
     let [client] = connections();
     let mut table = RequestTable::default();
     assert!(!table.contains(ID));
-    assert!(table.start_attempt(ID).is_none());
+    assert!(table.start_attempt(ID.into()).is_none());
     assert_eq!(table.attempt_finished(ID, 0), None);
     assert_eq!(table.connection_of_attempt(ID, 0), None);
     assert_eq!(table.client_disconnected(client), None);
@@ -51,7 +51,7 @@
     let [client] = connections();
     let mut table = table_with_request(client);
     for number in 0..3 {
-        let attempt = table.start_attempt(ID).expect("the request is in progress");
+        let attempt = table.start_attempt(ID.into()).expect("the request is in progress");
         assert_eq!((attempt.number, &*attempt.statement.text), (number, "SELECT 1"));
     }
 }
@@ -79,7 +79,7 @@
     assert_eq!(table.take_client(ID), Some(client));
     table.remove_if_finished(ID);
     assert!(table.contains(ID));
-    assert_eq!(table.attempt_finished(ID, 0), Some(ClientState::Gone));
+    assert_eq!(table.attempt_finished(ID, 0), Some(ClientState::NotWaiting));
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
@@ -116,7 +116,7 @@
     assert_eq!(table.take_client(ID), None, "nobody is owed an answer");
     table.remove_if_finished(ID);
     assert!(table.contains(ID), "its attempt is in flight");
-    assert_eq!(table.attempt_finished(ID, 0), Some(ClientState::Gone));
+    assert_eq!(table.attempt_finished(ID, 0), Some(ClientState::NotWaiting));
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
@@ -146,7 +146,7 @@
     assert_eq!(table.take_client(ID), Some(client));
     table.remove_if_finished(ID);
     assert_eq!(table.connections(ID), [first_connection], "the first attempt is still in flight");
-    assert_eq!(table.attempt_finished(ID, first), Some(ClientState::Gone));
+    assert_eq!(table.attempt_finished(ID, first), Some(ClientState::NotWaiting));
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -10,7 +10,7 @@
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
-use mio::event::Source;
+use mio::event::{Event, Source};
 use mio::{Events, Interest, Poll, Registry};
 
 use super::Context;
@@ -90,11 +90,19 @@
     }
 }
 
+/// What the event of a source announces.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Readiness {
+    /// The source can be read or written.
+    Ready,
+    /// The peer has closed its side. Earlier bytes may be still unread.
+    Disconnected,
+}
+
 /// Receives the events of the loop.
 pub(crate) trait Handler {
-    /// Called when a source can be read or written. `hung_up` is set once the peer has closed its side, even
-    /// while earlier bytes are still unread.
-    fn ready(&mut self, source: EventSource, hung_up: bool, context: &mut Context);
+    /// Called when a source has become ready.
+    fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context);
     /// Called when a timer has expired.
     fn timer_expired(&mut self, event: TimerEvent, context: &mut Context);
     /// Returns whether the loop shall end.
@@ -115,14 +123,22 @@
     Ok(())
 }
 
-/// Handles the events of one poll. Clients that have gone come first: other events may be what their queries
-/// were waiting for, and nothing must be sent for them any more.
+/// Handles the events of one poll. Clients that have disconnected come first: other events may be what their
+/// queries were waiting for, and nothing must be sent for them any more.
 fn handle_poll_events(events: &Events, handler: &mut impl Handler, context: &mut Context) {
-    let ready = events.iter().map(|event| (EventSource::from(event.token()), event.is_read_closed()));
-    let (gone, others): (Vec<_>, Vec<_>) =
-        ready.partition(|(source, hung_up)| *hung_up && source.is_client());
-    for (source, hung_up) in gone.into_iter().chain(others) {
-        handler.ready(source, hung_up, context);
+    let ready = events.iter().map(|event| (EventSource::from(event.token()), readiness(event)));
+    let (disconnected_clients, others): (Vec<_>, Vec<_>) =
+        ready.partition(|(source, readiness)| *readiness == Readiness::Disconnected && source.is_client());
+    for (source, readiness) in disconnected_clients.into_iter().chain(others) {
+        handler.ready(source, readiness, context);
+    }
+}
+
+fn readiness(event: &Event) -> Readiness {
+    if event.is_read_closed() {
+        Readiness::Disconnected
+    } else {
+        Readiness::Ready
     }
 }
 
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -13,7 +13,7 @@
 fn stale_connection_id_does_not_reach_the_next_connection_in_its_slot() {
     let mut connections = ConnectionTable::new();
     let old = connections.insert("old");
-    assert_eq!(EventSource::from(Token::from(EventSource::Server(old))), EventSource::Server(old));
+    assert_eq!(EventSource::from(Token::from(EventSource::Backend(old))), EventSource::Backend(old));
     connections.remove(old);
     let new = connections.insert("new");
     assert_eq!(new.index, old.index);
@@ -40,7 +40,7 @@
     let smallest = ConnectionId { index: 0, generation: 0 };
     let mut sources = vec![EventSource::Listener, EventSource::Signals];
     for id in [smallest, largest] {
-        sources.extend([EventSource::Client(id), EventSource::Server(id), EventSource::Discovery(id)]);
+        sources.extend([EventSource::Client(id), EventSource::Backend(id), EventSource::Discovery(id)]);
     }
     for source in sources {
         assert_eq!(EventSource::from(Token::from(source)), source);
--- a/src/net/reactor/timers.rs
+++ b/src/net/reactor/timers.rs
@@ -17,13 +17,13 @@
     IdleSweep,
     /// A deadline of a client connection.
     Client(ConnectionId),
-    /// A deadline of a connection to a database host.
-    Server(ConnectionId),
+    /// A deadline of a connection to an endpoint.
+    Backend(ConnectionId),
     /// A deadline of a connection to the discovery service.
     Discovery(ConnectionId),
     /// The grace period of the shutdown is over.
     GracePeriodOver,
-    /// The process may soon be killed: no query may wait behind another.
+    /// The process may soon be killed: requests that block others must end.
     KillImminent,
     /// Reading the configuration is tried again after an error.
     RetryReload,
--- a/src/net/reactor/tokens.rs
+++ b/src/net/reactor/tokens.rs
@@ -13,7 +13,7 @@
 const LISTENER: usize = 0;
 const SIGNALS: usize = 1;
 const CLIENT: usize = 2;
-const SERVER: usize = 3;
+const BACKEND: usize = 3;
 const DISCOVERY: usize = 4;
 
 // A token must hold all three parts.
@@ -29,8 +29,8 @@
     Signals,
     /// The connection of a client.
     Client(ConnectionId),
-    /// A connection to a database host.
-    Server(ConnectionId),
+    /// A connection to an endpoint.
+    Backend(ConnectionId),
     /// A connection to the discovery service.
     Discovery(ConnectionId),
 }
@@ -48,7 +48,7 @@
             EventSource::Listener => Token(LISTENER << KIND_SHIFT),
             EventSource::Signals => Token(SIGNALS << KIND_SHIFT),
             EventSource::Client(id) => connection_token(CLIENT, id),
-            EventSource::Server(id) => connection_token(SERVER, id),
+            EventSource::Backend(id) => connection_token(BACKEND, id),
             EventSource::Discovery(id) => connection_token(DISCOVERY, id),
         }
     }
@@ -61,7 +61,7 @@
             LISTENER => EventSource::Listener,
             SIGNALS => EventSource::Signals,
             CLIENT => EventSource::Client(id),
-            SERVER => EventSource::Server(id),
+            BACKEND => EventSource::Backend(id),
             _ => EventSource::Discovery(id),
         }
     }
