--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -2,9 +2,11 @@
 
 use super::request_table::ClientState;
 use super::Pooler;
-use crate::interface::{self, AttemptResult, Outcome};
+use crate::interface::{self, AttemptResult, Outcome, Role};
 use crate::net::messages::InvalidQuery;
+use crate::net::reactor::span_of;
 use crate::net::{Attempt, Completion, Context, Response, Task};
+use crate::time::LogPosition;
 
 impl Pooler {
     /// Reports the end of a task to the policy and answers the client if the end decides its request.
@@ -33,9 +35,9 @@
             attempt: number,
             outcome,
             request_finished: response.is_some() || client == ClientState::NotWaiting,
-            elapsed: completion.elapsed.as_secs_f64(),
-            log_position: completion.log_position,
-            primary: completion.primary,
+            elapsed: span_of(completion.elapsed),
+            log_position: completion.log_position.map(LogPosition::from_secs),
+            role: completion.primary.map(|primary| if primary { Role::Primary } else { Role::Replica }),
             report: completion.report,
         };
         // The policy learns what the answer says of the endpoint before the client can act on the answer.
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -7,9 +7,10 @@
 use crate::interface::{self, Request, RequestId};
 use crate::net::messages::InvalidQuery;
 use crate::net::postgres::CancelKey;
-use crate::net::reactor::{ConnectionId, Reactor};
+use crate::net::reactor::{span_of, ConnectionId, Reactor};
 use crate::net::{Context, Query, Response};
 use crate::settings::{Consistency, Idempotency};
+use crate::time::LocalInstant;
 
 /// What the pooler has to know of a request class.
 struct QueryClass {
@@ -76,14 +77,13 @@
             class,
             group: query.group,
             // The query may have waited behind others of its connection since it was received.
-            timeout: query.timeout.as_secs_f64() - waited.as_secs_f64(),
+            timeout: span_of(query.timeout) - span_of(waited),
             session_token_age: query
                 .session_token
-                .map(|committed_at| reactor.policy_time(now) - committed_at),
+                .map(|committed_at| reactor.policy_time(now) - LocalInstant::from_secs(committed_at)),
             session: session.map(Into::into),
             tenant: self.tenant(&query.tenant),
             predicted_work: None,
-            client_retry: query.client_retry,
         }
     }
 }
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -20,10 +20,11 @@
 use crate::net::buffer::MemoryBudget;
 use crate::net::discovery::Discovery;
 use crate::net::frontend::Frontend;
-use crate::net::reactor::{self, saturating_duration, EventSource, Reactor};
+use crate::net::reactor::{self, duration_of, EventSource, Reactor};
 use crate::net::shutdown::GracefulShutdown;
 use crate::net::{Context, Event};
 use crate::settings::SettingsError;
+use crate::time::Span;
 use crate::transient_error::{is_transient, retry};
 use crate::Policy;
 
@@ -107,11 +108,10 @@
         let budget = MemoryBudget::new(config.memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
-        let longest_deadline = saturating_duration(settings.longest_deadline());
-        let connect_timeout = saturating_duration(settings.connect_timeout);
-        let max_retry_after =
-            settings.send_retry_after.then(|| saturating_duration(settings.max_retry_after));
-        let keepalive = saturating_duration(config.keepalive);
+        let longest_deadline = duration_of(settings.longest_deadline());
+        let connect_timeout = duration_of(settings.connect_timeout);
+        let max_retry_after = settings.send_retry_after.then(|| duration_of(settings.max_retry_after));
+        let keepalive = duration_of(Span::from_secs(config.keepalive));
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
         let mut pooler = Pooler {
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -14,8 +14,9 @@
 use mio::{Events, Interest, Poll, Registry};
 
 use super::Context;
-pub(crate) use clock::saturating_duration;
+use crate::time::LocalInstant;
 use clock::Clock;
+pub(crate) use clock::{duration_of, span_of};
 pub(crate) use connection_table::{ConnectionId, ConnectionTable};
 pub(crate) use timers::TimerEvent;
 use timers::TimerQueue;
@@ -66,15 +67,15 @@
         Instant::now()
     }
 
-    /// Returns the policy's time at an instant (seconds since the Unix epoch, by the system clock at the
-    /// start and the monotonic clock since).
-    pub fn policy_time(&self, instant: Instant) -> f64 {
+    /// Returns the policy's time at an instant: Unix time by the system clock at the start and the monotonic
+    /// clock since.
+    pub fn policy_time(&self, instant: Instant) -> LocalInstant {
         self.clock.policy_time(instant)
     }
 
     /// Returns the instant of a policy's time. Never fails: a time out of range counts as the start or as a
     /// hundred years later.
-    pub fn instant_of(&self, policy_time: f64) -> Instant {
+    pub fn instant_of(&self, policy_time: LocalInstant) -> Instant {
         self.clock.instant_of(policy_time)
     }
 
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -5,6 +5,7 @@
 
 use super::connection_table::MAX_GENERATION;
 use super::*;
+use crate::time::Span;
 
 /// A time of the system clock (Unix seconds).
 const UNIX_SECONDS: f64 = 1_764_700_000.0;
@@ -69,9 +70,9 @@
 fn a_timer_of_the_policy_expires_at_its_time_and_not_before() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..10_000 {
-        let clock = Clock::new(Instant::now(), UNIX_SECONDS + rng.f64());
+        let clock = Clock::new(Instant::now(), LocalInstant::from_secs(UNIX_SECONDS + rng.f64()));
         let now = clock.policy_time(Instant::now() + Duration::from_secs(1000).mul_f64(rng.f64()));
-        let expires_at = now + rng.f64();
+        let expires_at = now + Span::from_secs(rng.f64());
         assert_eq!(clock.policy_time(clock.instant_of(expires_at)), expires_at);
     }
 }
@@ -82,10 +83,10 @@
 #[case::before_the_start(UNIX_SECONDS - 1.5, 0)]
 #[case::zero(0.0, 0)]
 #[case::minus_infinity(f64::NEG_INFINITY, 0)]
-fn a_time_of_the_policy_is_an_instant_from_the_start_on(#[case] policy_time: f64, #[case] millis: u64) {
+fn a_time_of_the_policy_is_an_instant_from_the_start_on(#[case] seconds: f64, #[case] millis: u64) {
     let start = Instant::now();
-    let clock = Clock::new(start, UNIX_SECONDS);
-    assert_eq!(clock.instant_of(policy_time), start + Duration::from_millis(millis));
+    let clock = Clock::new(start, LocalInstant::from_secs(UNIX_SECONDS));
+    assert_eq!(clock.instant_of(LocalInstant::from_secs(seconds)), start + Duration::from_millis(millis));
 }
 
 #[rstest]
@@ -95,10 +96,10 @@
 #[case::not_a_number(f64::NAN)]
 fn a_time_that_is_out_of_range_never_comes(#[case] seconds: f64) {
     let start = Instant::now();
-    let clock = Clock::new(start, UNIX_SECONDS);
+    let clock = Clock::new(start, LocalInstant::from_secs(UNIX_SECONDS));
     let fifty_years = Duration::from_secs(50 * 365 * 24 * 60 * 60);
-    assert!(clock.instant_of(seconds) > start + fifty_years);
-    assert!(saturating_duration(seconds) > fifty_years);
+    assert!(clock.instant_of(LocalInstant::from_secs(seconds)) > start + fifty_years);
+    assert!(duration_of(Span::from_secs(seconds)) > fifty_years);
 }
 
 #[rstest]
@@ -107,5 +108,5 @@
 #[case(-0.25, Duration::ZERO)]
 #[case(f64::NEG_INFINITY, Duration::ZERO)]
 fn a_negative_duration_counts_as_zero(#[case] seconds: f64, #[case] expected: Duration) {
-    assert_eq!(saturating_duration(seconds), expected);
+    assert_eq!(duration_of(Span::from_secs(seconds)), expected);
 }
