--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -10,6 +10,7 @@
 mod state;
 
 use std::net::SocketAddr;
+use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
 use mio::Interest;
@@ -33,26 +34,24 @@
 pub(crate) struct Backend {
     pool: Pool,
     budget: MemoryBudget,
-    /// How long a connection stays idle until it is closed (seconds).
-    idle_timeout: f64,
-    /// How long a connection may take to become ready for a query, and a reply to end once it has begun
-    /// (seconds).
-    connect_timeout: f64,
+    /// How long a connection stays idle until it is closed.
+    idle_timeout: Duration,
+    /// How long a connection may take to become ready for a query, and a reply to end once it has begun.
+    connect_timeout: Duration,
 }
 
 impl Backend {
-    /// A backend without connections. `keepalive` is how long a database host keeps an idle connection
-    /// (seconds).
+    /// A backend without connections. `keepalive` is how long a database host keeps an idle connection.
     pub fn new(
         max_connections: usize,
         budget: MemoryBudget,
-        keepalive: f64,
-        connect_timeout: f64,
+        keepalive: Duration,
+        connect_timeout: Duration,
     ) -> Backend {
         Backend {
             pool: Pool::new(max_connections),
             budget,
-            idle_timeout: keepalive * IDLE_TIMEOUT_SHARE,
+            idle_timeout: keepalive.mul_f64(IDLE_TIMEOUT_SHARE),
             connect_timeout,
         }
     }
@@ -81,7 +80,7 @@
         &mut self,
         task: Task,
         endpoint: &EndpointId,
-        timeout: f64,
+        timeout: Duration,
         context: &mut Context,
     ) -> Option<ConnectionId> {
         let now = context.reactor.now();
@@ -89,7 +88,7 @@
         if let Some(id) = self.pool.take_idle(endpoint) {
             if let Some(connection) = self.pool.get_mut(id) {
                 let progress = connection.start(exchange, now, self.connect_timeout);
-                context.reactor.set_timer(connection.state_deadline, TimerEvent::Server(id));
+                context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
                 self.handle_progress(id, progress, context);
                 return Some(id);
             }
@@ -131,9 +130,9 @@
     /// Sets the timer of a new connection and registers it for events.
     fn register(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
-        context.reactor.set_timer(connection.state_deadline, TimerEvent::Server(id));
+        context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
         let interests = Interest::READABLE | Interest::WRITABLE;
-        let source = EventSource::Server(id);
+        let source = EventSource::Backend(id);
         if context.reactor.register(&mut connection.stream, source, interests).is_err() {
             // The host is not to blame for a shortage of this machine.
             self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
@@ -147,7 +146,7 @@
         let previous_deadline = connection.state_deadline;
         let progress = connection.poll(now, self.connect_timeout);
         if connection.state_deadline != previous_deadline {
-            context.reactor.set_timer(connection.state_deadline, TimerEvent::Server(id));
+            context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
         }
         self.handle_progress(id, progress, context);
     }
@@ -170,7 +169,7 @@
     }
 
     /// Whether a connection exists and its present state has lasted too long.
-    fn is_expired(&mut self, id: ConnectionId, now: f64) -> bool {
+    fn is_expired(&mut self, id: ConnectionId, now: Instant) -> bool {
         self.pool.get_mut(id).is_some_and(|connection| connection.state_deadline <= now)
     }
 
@@ -207,7 +206,7 @@
             context.counters.unsolicited_messages += 1;
         }
         let endpoint = connection.endpoint.clone();
-        context.reactor.set_timer(idle_deadline, TimerEvent::Server(id));
+        context.reactor.set_timer(idle_deadline, TimerEvent::Backend(id));
         self.pool.release(id);
         // Without a complete result set the reply is invalid, but the request may have been executed.
         let outcome = reply.outcome().unwrap_or(Outcome::Error);
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -19,12 +19,14 @@
 mod session;
 
 use std::io;
+use std::time::Duration;
 
 use mio::net::TcpListener;
 
 use super::buffer::MemoryBudget;
 use super::postgres::CancelKey;
 use super::reactor::{ConnectionId, ConnectionTable, TimerEvent};
+use super::shutdown::Drain;
 use super::{Context, Event, Response};
 use crate::counters::Counters;
 use acceptor::Acceptor;
@@ -35,10 +37,8 @@
 struct ServiceStatus {
     /// Set once there is an endpoint to which queries can be sent.
     ready: bool,
-    /// When the shutdown started. Queries received later are rejected.
-    shutdown_started_at: Option<f64>,
-    /// When to retry a query that is rejected during the shutdown (seconds); 0 for no advice.
-    shutdown_retry_after: f64,
+    /// Set once the connections are drained for the shutdown.
+    drain: Option<Drain>,
 }
 
 /// All client connections, and the acceptor of new ones.
@@ -46,8 +46,8 @@
     acceptor: Acceptor,
     connections: ConnectionTable<Connection>,
     max_connections: usize,
-    /// How long a client may take to read its responses (seconds).
-    response_timeout: f64,
+    /// How long a client may take to read its responses.
+    response_timeout: Duration,
     /// Limits the memory of all connections together.
     budget: MemoryBudget,
     service: ServiceStatus,
@@ -57,11 +57,11 @@
 
 impl Frontend {
     /// Registers the listener and starts the idle sweep. Accepts at most `max_connections` at a time.
-    /// `longest_deadline` is that of all classes of requests (seconds).
+    /// `longest_deadline` is that of all classes of requests.
     pub fn new(
         listener: TcpListener,
         max_connections: usize,
-        longest_deadline: f64,
+        longest_deadline: Duration,
         budget: MemoryBudget,
         seed: u64,
         context: &mut Context,
@@ -159,13 +159,12 @@
     }
 
     /// Stops accepting once no connection waits, and closes each one as soon as all its queries are answered.
-    /// Later queries are rejected with this Retry-After (seconds); 0 for no advice.
-    pub fn start_shutdown(&mut self, retry_after: f64, context: &mut Context) {
-        self.service.shutdown_retry_after = retry_after;
+    /// Later queries are rejected with this Retry-After; zero for no advice.
+    pub fn start_draining(&mut self, retry_after: Duration, context: &mut Context) {
         // Connections and queries that have arrived by now are still served.
         self.acceptor.start_closing();
         self.accept(context);
-        self.service.shutdown_started_at = Some(context.reactor.now());
+        self.service.drain = Some(Drain::new(context.reactor.now(), retry_after));
         let all: Vec<ConnectionId> = self.connections.iter().map(|(id, _)| id).collect();
         for id in all {
             self.ready(id, context);
@@ -190,7 +189,7 @@
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_busy = connection.state == State::Busy;
-        if self.service.shutdown_started_at.is_some() && result.is_ok() && connection.can_close() {
+        if self.service.drain.is_some() && result.is_ok() && connection.can_close() {
             connection.start_closing(id, context);
             result = connection.poll(id, self.service, context);
         }
@@ -213,7 +212,7 @@
         self.connections
             .iter()
             .filter(|(_, connection)| matches(connection))
-            .min_by(|(_, a), (_, b)| a.last_active.total_cmp(&b.last_active))
+            .min_by_key(|(_, connection)| connection.last_active)
             .map(|(id, _)| id)
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,11 +9,12 @@
 mod pooler;
 mod postgres;
 mod reactor;
+mod shutdown;
 
 use std::collections::VecDeque;
 
 use crate::counters::Counters;
-use messages::{Completion, Event, Query, Response, Statement, Task};
+use messages::{Attempt, Completion, Event, Query, Response, Statement, Task};
 pub(crate) use pooler::{serve, ServeError};
 use reactor::Reactor;
 
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -1,10 +1,11 @@
 //! Executes the actions of the policy.
 
+use std::time::Duration;
+
 use super::Pooler;
 use crate::interface::{Action, EndpointId, RequestId, StateChange};
-use crate::net::reactor::TimerEvent;
+use crate::net::reactor::{duration_of, TimerEvent};
 use crate::net::{Context, Response, Task};
-use crate::time::Span;
 
 impl Pooler {
     /// Executes actions in their order.
@@ -17,7 +18,7 @@
     fn execute_one(&mut self, action: Action, context: &mut Context) {
         match action {
             Action::Send { id, endpoint, timeout } => {
-                self.send_attempt(id, &endpoint, timeout.as_secs(), context)
+                self.send_attempt(id, &endpoint, duration_of(timeout), context);
             }
             Action::CancelAttempt { id, attempt } => {
                 if let Some(connection) = self.requests.connection_of_attempt(&id, attempt) {
@@ -25,12 +26,13 @@
                 }
             }
             Action::Reject { id, retry_after } => {
-                let retry_after = retry_after.map_or(0.0, Span::as_secs);
-                self.finish_request(&id, Response::Rejected { retry_after }, context)
+                let retry_after = retry_after.map_or(Duration::ZERO, duration_of);
+                self.finish_request(&id, Response::Rejected { retry_after }, context);
             }
             Action::Fail { id } => self.finish_request(&id, Response::Failed, context),
             Action::SetTimer { at, cookie } => {
-                context.reactor.set_timer(at.as_secs(), TimerEvent::Policy(cookie))
+                let at = context.reactor.instant_of(at);
+                context.reactor.set_timer(at, TimerEvent::Policy(cookie));
             }
             Action::HealthCheck { endpoint } => self.send_health_check(&endpoint, context),
             Action::CloseIdleConnections { endpoint } => self.backend.close_idle_connections(&endpoint),
@@ -39,12 +41,18 @@
         }
     }
 
-    fn send_attempt(&mut self, id: RequestId, endpoint: &EndpointId, timeout: f64, context: &mut Context) {
-        let Some(attempt) = self.requests.start_attempt(&id) else { return };
+    fn send_attempt(
+        &mut self,
+        id: RequestId,
+        endpoint: &EndpointId,
+        timeout: Duration,
+        context: &mut Context,
+    ) {
+        let Some(attempt) = self.requests.start_attempt(id.clone()) else { return };
         context.counters.attempts_sent += 1;
-        let task = Task::Attempt(id.clone(), attempt.number, attempt.statement);
-        let connection = self.backend.send(task, endpoint, timeout, context);
-        self.requests.attempt_sent(&id, attempt.number, connection);
+        let number = attempt.number;
+        let connection = self.backend.send(Task::Attempt(attempt), endpoint, timeout, context);
+        self.requests.attempt_sent(&id, number, connection);
     }
 
     fn send_health_check(&mut self, endpoint: &EndpointId, context: &mut Context) {
@@ -57,7 +65,7 @@
         if let Some(client) = self.requests.take_client(id) {
             self.respond(client, response, context);
         }
-        // An attempt that has not reached its host must not begin after the final answer.
+        // An attempt that has not reached its endpoint must not begin after the final answer.
         for connection in self.requests.connections(id) {
             self.backend.cancel_unsent(connection, context);
         }
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -7,36 +7,28 @@
 mod completions;
 mod endpoints;
 mod queries;
+mod reload;
 mod request_table;
 mod signals;
 mod startup;
 
+use std::time::Duration;
+
 use signal_hook_mio::v1_0::Signals;
 
 use super::backend::Backend;
 use super::discovery::Discovery;
 use super::frontend::Frontend;
-use super::reactor::{ConnectionId, EventSource, Handler, TimerEvent};
+use super::reactor::{ConnectionId, EventSource, Handler, Readiness, TimerEvent};
+use super::shutdown::GracefulShutdown;
 use super::{Context, Event, Response};
 use crate::interface::{self, Action};
-use crate::time::LocalInstant;
 use crate::Policy;
 use queries::QueryTranslator;
+use reload::ConfigReload;
 use request_table::RequestTable;
-use signals::Reload;
 pub(crate) use startup::{serve, ServeError};
 
-/// How far the graceful shutdown has come.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ShutdownState {
-    /// No shutdown was requested.
-    Running,
-    /// A shutdown was requested. Connections and queries are still accepted.
-    GracePeriod,
-    /// No connection is accepted any more. Each open one is closed once its queries are answered.
-    Closing,
-}
-
 /// The pooler: the policy and the connections that it decides about.
 struct Pooler {
     policy: Policy,
@@ -48,14 +40,10 @@
     queries: QueryTranslator,
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
-    /// The timeout of a health check (seconds).
-    health_check_timeout: f64,
-    /// The longest deadline of any class of requests (seconds).
-    longest_deadline: f64,
-    /// The Retry-After of queries that are rejected during the shutdown (seconds); 0 for no advice.
-    shutdown_retry_after: f64,
-    reload: Reload,
-    shutdown: ShutdownState,
+    /// The timeout of a health check.
+    health_check_timeout: Duration,
+    reload: ConfigReload,
+    shutdown: GracefulShutdown,
 }
 
 impl Pooler {
@@ -64,7 +52,9 @@
     fn process_events(&mut self, context: &mut Context) {
         while let Some(event) = context.events.pop_front() {
             match event {
-                Event::QueryReceived(client, query) => self.on_query(client, *query, context),
+                Event::QueryReceived { client, query, received_at } => {
+                    self.on_query(client, *query, received_at, context);
+                }
                 Event::ClientDisconnected(client) => self.on_client_disconnected(client, context),
                 Event::CancelRequested(key) => self.on_cancel_request(key, context),
                 Event::TaskCompleted(completion) => self.on_task_completed(*completion, context),
@@ -84,7 +74,8 @@
     /// Passes an event to the policy and returns its actions, which are still to be executed.
     fn decide(&mut self, event: interface::Event, context: &Context) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.policy.handle(LocalInstant::from_secs(context.reactor.now()), event, &mut actions);
+        let now = context.reactor.policy_time(context.reactor.now());
+        self.policy.handle(now, event, &mut actions);
         actions
     }
 
@@ -93,20 +84,38 @@
         self.frontend.respond(client, response, context);
     }
 
-    /// Gives up the attempt that runs on a connection to a database host.
+    /// Stops accepting connections and closes each open one once its queries are answered.
+    fn start_draining(&mut self, context: &mut Context) {
+        let retry_after = self.shutdown.start_draining();
+        self.frontend.start_draining(retry_after, context);
+    }
+
+    /// Ends each request behind which others wait on its connection, since the process may soon be killed.
+    fn end_blocking_requests(&mut self, context: &mut Context) {
+        for client in self.frontend.clients_with_waiting_input() {
+            if let Some(id) = self.requests.request_of(client) {
+                self.notify_policy(interface::Event::Expired { id }, context);
+            }
+        }
+        self.shutdown.schedule_next_search(&mut context.reactor);
+    }
+
+    /// Gives up the attempt that runs on a connection to an endpoint.
     fn cancel_attempt(&mut self, connection: ConnectionId, context: &mut Context) {
         self.backend.cancel(connection, context);
     }
 }
 
 impl Handler for Pooler {
-    fn ready(&mut self, source: EventSource, hung_up: bool, context: &mut Context) {
+    fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context) {
         match source {
             EventSource::Listener => self.frontend.accept(context),
             EventSource::Signals => self.on_signals(context),
-            EventSource::Client(client) if hung_up => self.frontend.client_disconnected(client, context),
-            EventSource::Client(client) => self.frontend.ready(client, context),
-            EventSource::Server(connection) => self.backend.ready(connection, context),
+            EventSource::Client(client) => match readiness {
+                Readiness::Ready => self.frontend.ready(client, context),
+                Readiness::Disconnected => self.frontend.client_disconnected(client, context),
+            },
+            EventSource::Backend(connection) => self.backend.ready(connection, context),
             EventSource::Discovery(watch) => self.discovery.ready(watch, context),
         }
         self.process_events(context);
@@ -118,9 +127,9 @@
             TimerEvent::RetryAccept => self.frontend.accept(context),
             TimerEvent::IdleSweep => self.frontend.close_idle(context),
             TimerEvent::Client(client) => self.frontend.timer_expired(client, context),
-            TimerEvent::Server(connection) => self.backend.timer_expired(connection, context),
+            TimerEvent::Backend(connection) => self.backend.timer_expired(connection, context),
             TimerEvent::Discovery(watch) => self.discovery.timer_expired(watch, context),
-            TimerEvent::GracePeriodOver => self.on_grace_period_over(context),
+            TimerEvent::GracePeriodOver => self.start_draining(context),
             TimerEvent::KillImminent => self.end_blocking_requests(context),
             TimerEvent::RetryReload => self.retry_reload(context),
         }
@@ -128,6 +137,6 @@
     }
 
     fn finished(&self) -> bool {
-        self.shutdown == ShutdownState::Closing && self.frontend.is_finished()
+        self.shutdown.is_draining() && self.frontend.is_finished()
     }
 }
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -10,9 +10,9 @@
 use signal_hook_mio::v1_0::Signals;
 
 use super::queries::QueryTranslator;
+use super::reload::ConfigReload;
 use super::request_table::RequestTable;
-use super::signals::{shutdown_retry_after, Reload};
-use super::{Pooler, ShutdownState};
+use super::Pooler;
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::interface::UpdateKind;
@@ -20,9 +20,11 @@
 use crate::net::buffer::MemoryBudget;
 use crate::net::discovery::Discovery;
 use crate::net::frontend::Frontend;
-use crate::net::reactor::{self, EventSource, Reactor};
+use crate::net::reactor::{self, duration_of, EventSource, Reactor};
+use crate::net::shutdown::GracefulShutdown;
 use crate::net::{Context, Event};
 use crate::settings::SettingsError;
+use crate::time::Span;
 use crate::transient_error::{is_transient, retry};
 use crate::Policy;
 
@@ -106,28 +108,24 @@
         let budget = MemoryBudget::new(config.memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
-        let longest_deadline = settings.longest_deadline().as_secs();
+        let longest_deadline = duration_of(settings.longest_deadline());
+        let connect_timeout = duration_of(settings.connect_timeout);
+        let max_retry_after = settings.send_retry_after.then(|| duration_of(settings.max_retry_after));
+        let keepalive = duration_of(Span::from_secs(config.keepalive));
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
         let mut pooler = Pooler {
             policy,
             frontend,
-            backend: Backend::new(
-                limits.hosts,
-                budget.clone(),
-                config.keepalive,
-                settings.connect_timeout.as_secs(),
-            ),
+            backend: Backend::new(limits.hosts, budget.clone(), keepalive, connect_timeout),
             discovery: Discovery::new(config.discovery, config.known.index, budget),
             signals,
             requests: RequestTable::default(),
             queries: QueryTranslator::new(config),
             zones: config.zones.clone(),
-            health_check_timeout: settings.connect_timeout.as_secs(),
-            longest_deadline,
-            shutdown_retry_after: shutdown_retry_after(settings),
-            reload: Reload::new(path),
-            shutdown: ShutdownState::Running,
+            health_check_timeout: connect_timeout,
+            reload: ConfigReload::new(path),
+            shutdown: GracefulShutdown::new(longest_deadline, max_retry_after),
         };
         let cached_endpoints = config.known.endpoints.clone();
         context.events.push_back(Event::EndpointsUpdated(UpdateKind::Cached, cached_endpoints));
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -1,5 +1,6 @@
 //! The event loop: waits for sockets, signals and timers, and calls their handler.
 
+mod clock;
 mod connection_table;
 #[cfg(test)]
 mod tests;
@@ -7,12 +8,15 @@
 mod tokens;
 
 use std::io::{self, ErrorKind};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
-use mio::event::Source;
+use mio::event::{Event, Source};
 use mio::{Events, Interest, Poll, Registry};
 
 use super::Context;
+use crate::time::LocalInstant;
+use clock::Clock;
+pub(crate) use clock::{duration_of, span_of};
 pub(crate) use connection_table::{ConnectionId, ConnectionTable};
 pub(crate) use timers::TimerEvent;
 use timers::TimerQueue;
@@ -22,15 +26,10 @@
 const MAX_EVENTS_PER_POLL: usize = 256;
 
 /// The registry of event sources, the timers and the clock.
-///
-/// The clock is read once at the start and is monotonic from then on, so that setting the system clock
-/// neither delays nor fires a timer.
 pub(crate) struct Reactor {
     registry: Registry,
     timers: TimerQueue,
-    /// Unix seconds at `started`.
-    started_at: f64,
-    started: Instant,
+    clock: Clock,
     /// How many registrations are still to fail, as the system lets them when it has no memory.
     #[cfg(test)]
     pub failing_registrations: usize,
@@ -39,12 +38,10 @@
 impl Reactor {
     /// Creates a reactor whose registry belongs to `poll`.
     pub fn new(poll: &Poll) -> io::Result<Reactor> {
-        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Ok(Reactor {
             registry: poll.registry().try_clone()?,
             timers: TimerQueue::default(),
-            started_at: since_epoch.as_secs_f64(),
-            started: Instant::now(),
+            clock: Clock::start(),
             #[cfg(test)]
             failing_registrations: 0,
         })
@@ -65,28 +62,48 @@
         self.registry.register(source, name.into(), interest)
     }
 
-    /// Returns the present time (Unix seconds).
-    pub fn now(&self) -> f64 {
-        self.started_at + self.started.elapsed().as_secs_f64()
+    /// Returns the present time of the monotonic clock. Each call reads the clock anew.
+    pub fn now(&self) -> Instant {
+        Instant::now()
     }
 
-    /// Sets a timer that expires at `at` (Unix seconds).
-    pub fn set_timer(&mut self, at: f64, event: TimerEvent) {
+    /// Returns the policy's time at an instant: Unix time by the system clock at the start and the monotonic
+    /// clock since.
+    pub fn policy_time(&self, instant: Instant) -> LocalInstant {
+        self.clock.policy_time(instant)
+    }
+
+    /// Returns the instant of a policy's time. Never fails: a time out of range counts as the start or as a
+    /// hundred years later.
+    pub fn instant_of(&self, policy_time: LocalInstant) -> Instant {
+        self.clock.instant_of(policy_time)
+    }
+
+    /// Sets a timer that expires at `at`.
+    pub fn set_timer(&mut self, at: Instant, event: TimerEvent) {
         self.timers.push(at, event);
     }
 
     /// Returns the time until the next timer expires, or `None` without timers.
     fn poll_timeout(&self) -> Option<Duration> {
-        let seconds = self.timers.next_expiry()? - self.now();
-        Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO))
+        let next_expiry = self.timers.next_expiry()?;
+        Some(next_expiry.saturating_duration_since(self.now()))
     }
 }
 
+/// What the event of a source announces.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Readiness {
+    /// The source can be read or written.
+    Ready,
+    /// The peer has closed its side. Earlier bytes may be still unread.
+    Disconnected,
+}
+
 /// Receives the events of the loop.
 pub(crate) trait Handler {
-    /// Called when a source can be read or written. `hung_up` is set once the peer has closed its side, even
-    /// while earlier bytes are still unread.
-    fn ready(&mut self, source: EventSource, hung_up: bool, context: &mut Context);
+    /// Called when a source has become ready.
+    fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context);
     /// Called when a timer has expired.
     fn timer_expired(&mut self, event: TimerEvent, context: &mut Context);
     /// Returns whether the loop shall end.
@@ -107,14 +124,22 @@
     Ok(())
 }
 
-/// Handles the events of one poll. Clients that have gone come first: other events may be what their queries
-/// were waiting for, and nothing must be sent for them any more.
+/// Handles the events of one poll. Clients that have disconnected come first: other events may be what their
+/// queries were waiting for, and nothing must be sent for them any more.
 fn handle_poll_events(events: &Events, handler: &mut impl Handler, context: &mut Context) {
-    let ready = events.iter().map(|event| (EventSource::from(event.token()), event.is_read_closed()));
-    let (gone, others): (Vec<_>, Vec<_>) =
-        ready.partition(|(source, hung_up)| *hung_up && source.is_client());
-    for (source, hung_up) in gone.into_iter().chain(others) {
-        handler.ready(source, hung_up, context);
+    let ready = events.iter().map(|event| (EventSource::from(event.token()), readiness(event)));
+    let (disconnected_clients, others): (Vec<_>, Vec<_>) =
+        ready.partition(|(source, readiness)| *readiness == Readiness::Disconnected && source.is_client());
+    for (source, readiness) in disconnected_clients.into_iter().chain(others) {
+        handler.ready(source, readiness, context);
+    }
+}
+
+fn readiness(event: &Event) -> Readiness {
+    if event.is_read_closed() {
+        Readiness::Disconnected
+    } else {
+        Readiness::Ready
     }
 }
 
