--- /dev/null
+++ b/src/net/postgres/backend_messages.rs
@@ -0,0 +1,109 @@
+//! The messages that a PostgreSQL server sends: the pooler receives them from endpoints and sends them to its
+//! clients. A result has one row with one column.
+
+use super::message::{write_message, Message};
+use super::message_kind::server::*;
+use super::strings::{parse_string, push_string};
+
+/// The longest value in the row of an endpoint (bytes).
+pub(super) const MAX_VALUE: usize = 64 * 1024;
+/// The longest body of an endpoint's message that holds one column name or command tag (bytes).
+const MAX_NAME_BODY: usize = 1024;
+/// The longest body of an endpoint's message that holds other text, such as an error (bytes).
+pub(super) const MAX_TEXT_BODY: usize = 8 * 1024;
+/// The longest body of an authentication request or a cancel key of an endpoint (bytes).
+const MAX_STARTUP_BODY: usize = 256;
+
+/// The state in ReadyForQuery of a session outside of a transaction.
+const NO_TRANSACTION: u8 = b'I';
+/// The body of ReadyForQuery of a session outside of a transaction.
+const READY_FOR_QUERY_BODY: [u8; 1] = [NO_TRANSACTION];
+
+/// The bytes before the value of a row: the number of columns (two) and the length of the value (four).
+pub(super) const COLUMN_VALUE_OFFSET: usize = 6;
+/// The number of columns, as a RowDescription and a DataRow start with it.
+const ONE_COLUMN: [u8; 2] = [0, 1];
+/// The bytes after the name of a column in its description: the numbers of its table, column, type and format.
+const COLUMN_NUMBERS_SIZE: usize = 18;
+
+/// Returns the longest body that an endpoint may send (bytes), or `None` for a kind that it does not send.
+pub(super) fn max_body_length(kind: u8) -> Option<usize> {
+    match kind {
+        DATA_ROW => Some(COLUMN_VALUE_OFFSET + MAX_VALUE),
+        ERROR_RESPONSE | NOTICE_RESPONSE | PARAMETER_STATUS => Some(MAX_TEXT_BODY),
+        ROW_DESCRIPTION | COMMAND_COMPLETE => Some(MAX_NAME_BODY),
+        AUTHENTICATION | BACKEND_KEY_DATA => Some(MAX_STARTUP_BODY),
+        READY_FOR_QUERY => Some(READY_FOR_QUERY_BODY.len()),
+        _ => None,
+    }
+}
+
+/// Returns whether the body of an endpoint's message has the form that its kind requires.
+pub(super) fn is_well_formed(message: &Message) -> bool {
+    let body = &message.body;
+    match message.kind {
+        ROW_DESCRIPTION => describes_one_column(body),
+        DATA_ROW => single_column(body).is_some(),
+        COMMAND_COMPLETE => parse_string(body).is_some_and(is_printable_ascii),
+        PARAMETER_STATUS => parse_parameter_status(body).is_some(),
+        READY_FOR_QUERY => *body == READY_FOR_QUERY_BODY,
+        _ => true,
+    }
+}
+
+/// Returns whether a DataRow has one column that fills the whole body. `start` needs to hold only what
+/// precedes the value; `body_length` is in bytes.
+pub(super) fn has_one_column(start: &[u8], body_length: usize) -> bool {
+    let Some((columns, rest)) = start.split_first_chunk() else { return false };
+    let Some(length) = rest.first_chunk() else { return false };
+    let length = u32::from_be_bytes(*length) as usize;
+    *columns == ONE_COLUMN && COLUMN_VALUE_OFFSET + length == body_length
+}
+
+/// Returns the value of a DataRow with one column.
+pub(crate) fn single_column(body: &[u8]) -> Option<&[u8]> {
+    if !has_one_column(body, body.len()) {
+        return None;
+    }
+    body.get(COLUMN_VALUE_OFFSET..)
+}
+
+/// Returns whether a RowDescription describes exactly one column.
+fn describes_one_column(body: &[u8]) -> bool {
+    let Some(column) = body.strip_prefix(&ONE_COLUMN) else { return false };
+    let Some(name_length) = column.len().checked_sub(COLUMN_NUMBERS_SIZE) else { return false };
+    parse_string(&column[..name_length]).is_some()
+}
+
+fn is_printable_ascii(text: &str) -> bool {
+    text.bytes().all(|byte| (b' '..=b'~').contains(&byte))
+}
+
+/// Returns the name and the value of a ParameterStatus.
+pub(crate) fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
+    let text = std::str::from_utf8(body).ok()?;
+    let (name, value) = text.strip_suffix('\0')?.split_once('\0')?;
+    (!value.contains('\0')).then_some((name, value))
+}
+
+/// Writes a ParameterStatus.
+pub(super) fn write_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
+    write_message(out, PARAMETER_STATUS, |out| {
+        push_string(out, name);
+        push_string(out, value);
+    });
+}
+
+/// Returns a ReadyForQuery of a session outside of a transaction.
+pub(crate) fn ready_for_query() -> Vec<u8> {
+    let mut out = Vec::new();
+    write_message(&mut out, READY_FOR_QUERY, |out| out.extend(READY_FOR_QUERY_BODY));
+    out
+}
+
+/// Returns the answer to a query without a statement.
+pub(crate) fn empty_query_response() -> Vec<u8> {
+    let mut out = Vec::new();
+    write_message(&mut out, EMPTY_QUERY_RESPONSE, |_| {});
+    out
+}
--- a/src/net/postgres/error_response.rs
+++ b/src/net/postgres/error_response.rs
@@ -1,7 +1,7 @@
 //! ErrorResponse messages. Their body is a list of fields, each a kind (one byte) and a string.
 
+use super::message::write_message;
 use super::message_kind::server;
-use super::messages::write_message;
 use super::strings::push_string;
 
 /// The severity, which a server may translate.
--- /dev/null
+++ b/src/net/postgres/message.rs
@@ -0,0 +1,36 @@
+//! The form of a message on the wire: its kind (one byte), its length (four bytes that count themselves) and
+//! its body.
+
+/// The bytes of the length, which the length itself counts.
+pub(super) const LENGTH_SIZE: usize = 4;
+/// The bytes before the body.
+pub(super) const HEADER_SIZE: usize = 1 + LENGTH_SIZE;
+
+/// A message with its kind, a constant of [`message_kind`](super::message_kind).
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct Message {
+    /// The byte that the message starts with.
+    pub kind: u8,
+    /// The bytes after the header.
+    pub body: Vec<u8>,
+}
+
+/// Writes a message: its kind, its length and the body that `write_body` appends.
+pub(super) fn write_message(out: &mut Vec<u8>, kind: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
+    out.push(kind);
+    write_with_length(out, write_body);
+}
+
+/// Writes the length that precedes a body, and the body that `write_body` appends. The length counts itself.
+pub(super) fn write_with_length(out: &mut Vec<u8>, write_body: impl FnOnce(&mut Vec<u8>)) {
+    let start = out.len();
+    out.extend([0; LENGTH_SIZE]);
+    write_body(out);
+    let length = (out.len() - start) as u32;
+    out[start..start + LENGTH_SIZE].copy_from_slice(&length.to_be_bytes());
+}
+
+/// Appends a message as it was received.
+pub(crate) fn append_message(out: &mut Vec<u8>, message: &Message) {
+    write_message(out, message.kind, |out| out.extend(&message.body));
+}
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -1,23 +1,40 @@
 //! The messages of PostgreSQL's protocol, version 3: parsing and writing. This module performs no input or
 //! output and makes no decisions about connections.
+//!
+//! Each file depends only on files above it:
+//!
+//! | file | job | depends on |
+//! | --- | --- | --- |
+//! | `message_kind` | The byte that names the kind of a message | |
+//! | `strings` | Strings that end with a zero | |
+//! | `sqlstate` | Error codes | |
+//! | `message` | Header and body; writing | |
+//! | `backend_messages` | The messages of a PostgreSQL server | `message`, `message_kind`, `strings` |
+//! | `error_response` | The ErrorResponse among them | `message`, `message_kind`, `strings` |
+//! | `framing` | Reading of messages | `backend_messages`, `message`, `message_kind` |
+//! | `startup` | The start of a session | `backend_messages`, `framing`, `message`, `message_kind`, `strings` |
+//! | `query_comment` | The comment before a statement | `query` |
+//! | `query` | Query messages | `message`, `message_kind`, `query_comment`, `strings` |
 
+mod backend_messages;
 mod error_response;
 mod framing;
+mod message;
 pub(crate) mod message_kind;
-mod messages;
 mod query;
 mod query_comment;
-mod server_messages;
 pub(crate) mod sqlstate;
 mod startup;
 mod strings;
 #[cfg(test)]
 mod tests;
 
+pub(crate) use backend_messages::{
+    empty_query_response, parse_parameter_status, ready_for_query, single_column,
+};
 pub(crate) use error_response::{error_response, parse_error_response};
-pub(crate) use framing::{read_client_message, read_server_message, FrameError, Message};
-pub(crate) use messages::{append_message, empty_query_response, query_message, ready_for_query};
-pub(crate) use query::{parse_query, ParsedQuery};
-pub(crate) use server_messages::{parse_parameter_status, single_column};
+pub(crate) use framing::{read_client_message, read_server_message, FrameError};
+pub(crate) use message::{append_message, Message};
+pub(crate) use query::{parse_query, query_message, ParsedQuery};
 pub(crate) use sqlstate::is_statement_error;
 pub(crate) use startup::{read_startup, session_start, startup_message, CancelKey, Startup};
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -1,9 +1,12 @@
-//! Parsing of a client's query: a leading comment with the fields of the request, and a statement.
+//! Query messages: parsing of those that clients send, which are a leading comment with the fields of the
+//! request and a statement, and writing of those for endpoints.
 
 use std::ops::Range;
 
 use thiserror::Error;
 
+use super::message::{write_message, HEADER_SIZE};
+use super::message_kind::client;
 use super::query_comment::{CommentFields, RawFields};
 use super::strings::parse_string;
 use crate::net::{Query, Statement};
@@ -65,6 +68,16 @@
     Ok(ParsedQuery::Query(Box::new(build_query(sql, statement, fields))))
 }
 
+/// Returns a Query message for an endpoint.
+pub(crate) fn query_message(sql: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADER_SIZE + sql.len() + 1);
+    write_message(&mut out, client::QUERY, |out| {
+        out.extend(sql);
+        out.push(0);
+    });
+    out
+}
+
 fn build_query(sql: &str, statement: &str, fields: CommentFields) -> Query {
     Query {
         id: fields.id,
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -1,8 +1,9 @@
 //! The start of a session: the packets that clients send first, and the answer to them.
 
+use super::backend_messages::{ready_for_query, write_parameter_status};
 use super::framing::FrameError;
+use super::message::{write_message, write_with_length};
 use super::message_kind::server;
-use super::messages::{ready_for_query, write_message, write_with_length};
 use super::strings::push_string;
 use crate::net::buffer::RingBuffer;
 
@@ -109,10 +110,7 @@
     let mut out = Vec::new();
     write_message(&mut out, server::AUTHENTICATION, |out| out.extend(AUTHENTICATION_OK));
     for (name, value) in SESSION_PARAMETERS {
-        write_message(&mut out, server::PARAMETER_STATUS, |out| {
-            push_string(out, name);
-            push_string(out, value);
-        });
+        write_parameter_status(&mut out, name, value);
     }
     write_message(&mut out, server::BACKEND_KEY_DATA, |out| {
         out.extend(process.to_be_bytes());
--- a/src/net/postgres/tests/framing.rs
+++ b/src/net/postgres/tests/framing.rs
@@ -2,7 +2,8 @@
 
 use rstest::rstest;
 
-use super::super::framing::{MAX_CLIENT_BODY, MAX_TEXT_BODY, MAX_VALUE};
+use super::super::backend_messages::{MAX_TEXT_BODY, MAX_VALUE};
+use super::super::framing::MAX_CLIENT_BODY;
 use super::super::message_kind::{client, server};
 use super::*;
 
