--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -13,7 +13,7 @@
 //! | `error_response` | The ErrorResponse among them | `message`, `message_kind`, `strings` |
 //! | `framing` | Reading of messages | `backend_messages`, `message`, `message_kind` |
 //! | `startup` | The start of a session | `backend_messages`, `framing`, `message`, `message_kind`, `strings` |
-//! | `query_comment` | The comment before a statement | `query` |
+//! | `query_comment` | The comment before a statement | |
 //! | `query` | Query messages | `message`, `message_kind`, `query_comment`, `strings` |
 
 mod backend_messages;
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -7,7 +7,7 @@
 
 use super::message::{write_message, HEADER_SIZE};
 use super::message_kind::client;
-use super::query_comment::{CommentFields, RawFields};
+use super::query_comment::{CommentError, CommentFields, RawFields};
 use super::strings::parse_string;
 use crate::net::{Query, Statement};
 
@@ -20,36 +20,28 @@
 pub(crate) enum ParsedQuery {
     /// The query has no statement.
     Empty,
+    /// The query has a comment with valid fields, and a statement.
     Query(Box<Query>),
 }
 
 /// Why a client's query is rejected. The texts are sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum QueryError {
+    /// The body of the message is not one string.
     #[error("a query must be UTF-8 and end with its only zero")]
     InvalidText,
+    /// The query does not start with a comment.
     #[error("no leading comment")]
     NoComment,
+    /// The leading comment has no end.
     #[error("the comment does not end")]
     UnterminatedComment,
+    /// Nothing follows the comment.
     #[error("no statement behind the comment")]
     NoStatement,
-    #[error("the comment is not made of names and values")]
-    NotNameAndValue,
-    #[error("a value of the comment is empty or there twice")]
-    EmptyOrRepeatedValue,
-    #[error("no id in the comment")]
-    NoId,
-    #[error("no class in the comment")]
-    NoClass,
-    #[error("no group number in the comment")]
-    NoGroup,
-    #[error("no d in the comment")]
-    NoTimeout,
-    #[error("d is not a number of milliseconds above 0")]
-    InvalidTimeout,
-    #[error("after is not a time in milliseconds")]
-    InvalidSessionToken,
+    /// The comment does not describe a request.
+    #[error(transparent)]
+    Comment(#[from] CommentError),
 }
 
 /// Parses the body of a client's query message.
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -3,7 +3,7 @@
 
 use std::ops::Range;
 
-use super::query::QueryError;
+use thiserror::Error;
 
 const ID: &str = "id";
 const CLASS: &str = "c";
@@ -21,6 +21,35 @@
 const MAX_DIGITS: usize = 15;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
+/// Why a comment is rejected. The texts are sent to the client.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub(crate) enum CommentError {
+    /// A pair has no equals sign.
+    #[error("the comment is not made of names and values")]
+    NotNameAndValue,
+    /// A known field has an empty value or is there twice.
+    #[error("a value of the comment is empty or there twice")]
+    EmptyOrRepeatedValue,
+    /// The identifier of the request is missing.
+    #[error("no id in the comment")]
+    NoId,
+    /// The class of the request is missing.
+    #[error("no class in the comment")]
+    NoClass,
+    /// The group is missing or not a number.
+    #[error("no group number in the comment")]
+    NoGroup,
+    /// The timeout is missing.
+    #[error("no d in the comment")]
+    NoTimeout,
+    /// The timeout is zero or not a number.
+    #[error("d is not a number of milliseconds above 0")]
+    InvalidTimeout,
+    /// The session token is not a number.
+    #[error("after is not a time in milliseconds")]
+    InvalidSessionToken,
+}
+
 /// The checked fields of a comment.
 #[derive(Debug, PartialEq)]
 pub(super) struct CommentFields {
@@ -73,11 +102,11 @@
 
 impl<'a> RawFields<'a> {
     /// Parses the text inside a comment; `start` is its place in the query.
-    pub fn parse(comment: &'a str, start: usize) -> Result<Self, QueryError> {
+    pub fn parse(comment: &'a str, start: usize) -> Result<Self, CommentError> {
         let mut fields = RawFields::default();
         let mut pair_start = start;
         for pair in comment.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(QueryError::NotNameAndValue)?;
+            let (name, value) = pair.split_once('=').ok_or(CommentError::NotNameAndValue)?;
             let value_start = pair_start + name.len() + 1;
             fields.set(name.trim(), RawValue::trimmed(value, value_start))?;
             pair_start += pair.len() + 1;
@@ -85,10 +114,10 @@
         Ok(fields)
     }
 
-    fn set(&mut self, name: &str, value: RawValue<'a>) -> Result<(), QueryError> {
+    fn set(&mut self, name: &str, value: RawValue<'a>) -> Result<(), CommentError> {
         let Some(field) = self.field_mut(name) else { return Ok(()) };
         if value.text.is_empty() || field.is_some() {
-            return Err(QueryError::EmptyOrRepeatedValue);
+            return Err(CommentError::EmptyOrRepeatedValue);
         }
         *field = Some(value);
         Ok(())
@@ -109,13 +138,13 @@
     }
 
     /// Checks the fields. The order of the checks decides which of several errors the client is told.
-    pub fn check(self) -> Result<CommentFields, QueryError> {
-        let timeout = self.timeout.ok_or(QueryError::NoTimeout)?;
+    pub fn check(self) -> Result<CommentFields, CommentError> {
+        let timeout = self.timeout.ok_or(CommentError::NoTimeout)?;
         let session_token = parse_session_token(self.session_token)?;
-        let group = parse_group(self.group).ok_or(QueryError::NoGroup)?;
-        let id = self.id.ok_or(QueryError::NoId)?;
-        let class = self.class.ok_or(QueryError::NoClass)?;
-        let seconds = parse_timeout(&timeout).ok_or(QueryError::InvalidTimeout)?;
+        let group = parse_group(self.group).ok_or(CommentError::NoGroup)?;
+        let id = self.id.ok_or(CommentError::NoId)?;
+        let class = self.class.ok_or(CommentError::NoClass)?;
+        let seconds = parse_timeout(&timeout).ok_or(CommentError::InvalidTimeout)?;
         Ok(CommentFields {
             id: id.text.into(),
             class: class.text.into(),
@@ -131,9 +160,9 @@
 }
 
 /// Parses the optional session token. A token of 0 requires no commit to be seen.
-fn parse_session_token(value: Option<RawValue>) -> Result<Option<f64>, QueryError> {
+fn parse_session_token(value: Option<RawValue>) -> Result<Option<f64>, CommentError> {
     let Some(value) = value else { return Ok(None) };
-    let millis = parse_millis(value.text).ok_or(QueryError::InvalidSessionToken)?;
+    let millis = parse_millis(value.text).ok_or(CommentError::InvalidSessionToken)?;
     Ok((millis > 0).then(|| to_seconds(millis)))
 }
 
--- a/src/net/postgres/tests/query.rs
+++ b/src/net/postgres/tests/query.rs
@@ -3,6 +3,7 @@
 use rstest::rstest;
 
 use super::super::query::QueryError;
+use super::super::query_comment::CommentError;
 use super::*;
 use crate::net::Query;
 
@@ -118,33 +119,33 @@
 #[case::no_end("/*id=a,c=r,cluster=2,d=5 SELECT 1", QueryError::UnterminatedComment)]
 #[case::end_overlaps_start("/*/id=a,c=r,cluster=2,d=5*/ SELECT 1", QueryError::UnterminatedComment)]
 #[case::no_statement("/*id=a,c=r,cluster=2,d=5*/ ;", QueryError::NoStatement)]
-#[case::empty_comment("/**/ SELECT 1", QueryError::NotNameAndValue)]
-#[case::comma_at_the_end("/*id=a,c=r,cluster=2,d=5,*/ SELECT 1", QueryError::NotNameAndValue)]
-#[case::empty_value("/*id= ,c=r,cluster=2,d=5*/ SELECT 1", QueryError::EmptyOrRepeatedValue)]
-#[case::repeated("/*id=a,c=r,cluster=2,d=5,id=a*/ SELECT 1", QueryError::EmptyOrRepeatedValue)]
-#[case::no_id("/*c=r,cluster=2,d=5*/ SELECT 1", QueryError::NoId)]
-#[case::no_class("/*id=a,cluster=2,d=5*/ SELECT 1", QueryError::NoClass)]
-#[case::no_group("/*id=a,c=r,d=5*/ SELECT 1", QueryError::NoGroup)]
-#[case::negative_group("/*id=a,c=r,cluster=-1,d=5*/ SELECT 1", QueryError::NoGroup)]
-#[case::no_timeout("/*id=a,c=r,cluster=2*/ SELECT 1", QueryError::NoTimeout)]
-#[case::zero_timeout("/*id=a,c=r,cluster=2,d=0*/ SELECT 1", QueryError::InvalidTimeout)]
-#[case::signed_timeout("/*id=a,c=r,cluster=2,d=+5*/ SELECT 1", QueryError::InvalidTimeout)]
-#[case::long_timeout("/*id=a,c=r,cluster=2,d=0000000000000005*/ SELECT 1", QueryError::InvalidTimeout)]
-#[case::token("/*id=a,c=r,cluster=2,d=5,after=x*/ SELECT 1", QueryError::InvalidSessionToken)]
-fn bad_query_is_rejected(#[case] sql: &str, #[case] expected: QueryError) {
-    assert_eq!(parse(sql).unwrap_err(), expected);
+#[case::empty_comment("/**/ SELECT 1", CommentError::NotNameAndValue)]
+#[case::comma_at_the_end("/*id=a,c=r,cluster=2,d=5,*/ SELECT 1", CommentError::NotNameAndValue)]
+#[case::empty_value("/*id= ,c=r,cluster=2,d=5*/ SELECT 1", CommentError::EmptyOrRepeatedValue)]
+#[case::repeated("/*id=a,c=r,cluster=2,d=5,id=a*/ SELECT 1", CommentError::EmptyOrRepeatedValue)]
+#[case::no_id("/*c=r,cluster=2,d=5*/ SELECT 1", CommentError::NoId)]
+#[case::no_class("/*id=a,cluster=2,d=5*/ SELECT 1", CommentError::NoClass)]
+#[case::no_group("/*id=a,c=r,d=5*/ SELECT 1", CommentError::NoGroup)]
+#[case::negative_group("/*id=a,c=r,cluster=-1,d=5*/ SELECT 1", CommentError::NoGroup)]
+#[case::no_timeout("/*id=a,c=r,cluster=2*/ SELECT 1", CommentError::NoTimeout)]
+#[case::zero_timeout("/*id=a,c=r,cluster=2,d=0*/ SELECT 1", CommentError::InvalidTimeout)]
+#[case::signed_timeout("/*id=a,c=r,cluster=2,d=+5*/ SELECT 1", CommentError::InvalidTimeout)]
+#[case::long_timeout("/*id=a,c=r,cluster=2,d=0000000000000005*/ SELECT 1", CommentError::InvalidTimeout)]
+#[case::token("/*id=a,c=r,cluster=2,d=5,after=x*/ SELECT 1", CommentError::InvalidSessionToken)]
+fn bad_query_is_rejected(#[case] sql: &str, #[case] expected: impl Into<QueryError>) {
+    assert_eq!(parse(sql).unwrap_err(), expected.into());
 }
 
 /// Of several errors, the first in this order is reported.
 #[rstest]
-#[case::missing_timeout_first("/*after=x*/ SELECT 1", QueryError::NoTimeout)]
-#[case::then_the_token("/*d=0,after=x*/ SELECT 1", QueryError::InvalidSessionToken)]
-#[case::then_the_group("/*d=0,cluster=x*/ SELECT 1", QueryError::NoGroup)]
-#[case::then_the_id("/*d=0,cluster=2*/ SELECT 1", QueryError::NoId)]
-#[case::then_the_class("/*d=0,cluster=2,id=a*/ SELECT 1", QueryError::NoClass)]
-#[case::then_the_value_of_the_timeout("/*d=0,cluster=2,id=a,c=r*/ SELECT 1", QueryError::InvalidTimeout)]
-fn errors_are_reported_in_a_fixed_order(#[case] sql: &str, #[case] expected: QueryError) {
-    assert_eq!(parse(sql).unwrap_err(), expected);
+#[case::missing_timeout_first("/*after=x*/ SELECT 1", CommentError::NoTimeout)]
+#[case::then_the_token("/*d=0,after=x*/ SELECT 1", CommentError::InvalidSessionToken)]
+#[case::then_the_group("/*d=0,cluster=x*/ SELECT 1", CommentError::NoGroup)]
+#[case::then_the_id("/*d=0,cluster=2*/ SELECT 1", CommentError::NoId)]
+#[case::then_the_class("/*d=0,cluster=2,id=a*/ SELECT 1", CommentError::NoClass)]
+#[case::then_the_value_of_the_timeout("/*d=0,cluster=2,id=a,c=r*/ SELECT 1", CommentError::InvalidTimeout)]
+fn errors_are_reported_in_a_fixed_order(#[case] sql: &str, #[case] expected: CommentError) {
+    assert_eq!(parse(sql).unwrap_err(), QueryError::Comment(expected));
 }
 
 #[rstest]
@@ -152,16 +153,16 @@
 #[case(QueryError::NoComment, "no leading comment")]
 #[case(QueryError::UnterminatedComment, "the comment does not end")]
 #[case(QueryError::NoStatement, "no statement behind the comment")]
-#[case(QueryError::NotNameAndValue, "the comment is not made of names and values")]
-#[case(QueryError::EmptyOrRepeatedValue, "a value of the comment is empty or there twice")]
-#[case(QueryError::NoId, "no id in the comment")]
-#[case(QueryError::NoClass, "no class in the comment")]
-#[case(QueryError::NoGroup, "no group number in the comment")]
-#[case(QueryError::NoTimeout, "no d in the comment")]
-#[case(QueryError::InvalidTimeout, "d is not a number of milliseconds above 0")]
-#[case(QueryError::InvalidSessionToken, "after is not a time in milliseconds")]
-fn error_texts_that_clients_receive_are_fixed(#[case] error: QueryError, #[case] expected: &str) {
-    assert_eq!(error.to_string(), expected);
+#[case(CommentError::NotNameAndValue, "the comment is not made of names and values")]
+#[case(CommentError::EmptyOrRepeatedValue, "a value of the comment is empty or there twice")]
+#[case(CommentError::NoId, "no id in the comment")]
+#[case(CommentError::NoClass, "no class in the comment")]
+#[case(CommentError::NoGroup, "no group number in the comment")]
+#[case(CommentError::NoTimeout, "no d in the comment")]
+#[case(CommentError::InvalidTimeout, "d is not a number of milliseconds above 0")]
+#[case(CommentError::InvalidSessionToken, "after is not a time in milliseconds")]
+fn error_texts_that_clients_receive_are_fixed(#[case] error: impl Into<QueryError>, #[case] expected: &str) {
+    assert_eq!(error.into().to_string(), expected);
 }
 
 #[test]
