--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -9,8 +9,7 @@
 use super::state::{Expiry, State};
 use crate::interface::{EndpointId, Outcome};
 use crate::net::buffer::{MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
-use crate::net::postgres::message_kind::server as message_kind;
-use crate::net::postgres::{self, sqlstate, Message};
+use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
 
 /// The user and the database that the startup message names.
 const USER: &str = "app";
@@ -246,7 +245,7 @@
     /// Processes each complete message in the input buffer.
     fn process_messages(&mut self, now: f64) -> Progress {
         loop {
-            let message = match postgres::read_server_message(&mut self.input) {
+            let message = match postgres::read_backend_message(&mut self.input) {
                 Ok(Some(message)) => message,
                 Ok(None) => return Progress::Pending,
                 Err(_) => return self.reject_malformed(),
@@ -259,14 +258,14 @@
     }
 
     /// Processes one message as the present state requires.
-    fn process_message(&mut self, message: &Message, now: f64) -> Progress {
-        if matches!(message.kind, message_kind::NOTICE_RESPONSE | message_kind::BACKEND_KEY_DATA) {
+    fn process_message(&mut self, message: &BackendMessage, now: f64) -> Progress {
+        if matches!(message.kind, BackendMessageKind::NoticeResponse | BackendMessageKind::BackendKeyData) {
             return Progress::Pending;
         }
         match &mut self.state {
             State::Connecting(_) => self.reject_malformed(),
             State::Starting(_) => self.process_startup_message(message, now),
-            State::Idle if message.kind == message_kind::PARAMETER_STATUS => Progress::Pending,
+            State::Idle if message.kind == BackendMessageKind::ParameterStatus => Progress::Pending,
             State::Idle => self.reject_malformed(),
             State::Busy { exchange, reply, .. } => {
                 match reply.add_message(message, &exchange.task, &mut self.value_memory) {
@@ -281,12 +280,12 @@
     }
 
     /// Processes a message of the session start. Sends the query as soon as the session is ready.
-    fn process_startup_message(&mut self, message: &Message, now: f64) -> Progress {
+    fn process_startup_message(&mut self, message: &BackendMessage, now: f64) -> Progress {
         match message.kind {
-            message_kind::PARAMETER_STATUS => Progress::Pending,
-            message_kind::AUTHENTICATION if message.body == AUTHENTICATION_OK => Progress::Pending,
-            message_kind::ERROR_RESPONSE => Progress::Failed(startup_error_outcome(&message.body)),
-            message_kind::READY_FOR_QUERY => match self.take_exchange() {
+            BackendMessageKind::ParameterStatus => Progress::Pending,
+            BackendMessageKind::Authentication if message.body == AUTHENTICATION_OK => Progress::Pending,
+            BackendMessageKind::ErrorResponse => Progress::Failed(startup_error_outcome(&message.body)),
+            BackendMessageKind::ReadyForQuery => match self.take_exchange() {
                 Some((exchange, _)) => self.send_query(exchange, now),
                 None => Progress::Failed(Outcome::NotSent),
             },
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -3,8 +3,7 @@
 use crate::interface::{LoadReport, Outcome};
 use crate::load_report;
 use crate::net::buffer::MemoryReservation;
-use crate::net::postgres::message_kind::server as message_kind;
-use crate::net::postgres::{self, sqlstate, Message};
+use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
 use crate::net::Task;
 
 /// The parameter that holds the commit time of the log position (Unix milliseconds).
@@ -26,13 +25,17 @@
 
 impl ResultSet {
     /// The state after a message of this kind; none if the message is out of order.
-    fn after(self, kind: u8) -> Option<ResultSet> {
+    fn after(self, kind: BackendMessageKind) -> Option<ResultSet> {
         match (self, kind) {
-            (ResultSet::AwaitingRowDescription, message_kind::ROW_DESCRIPTION) => {
+            (ResultSet::AwaitingRowDescription, BackendMessageKind::RowDescription) => {
                 Some(ResultSet::AwaitingDataRow)
             }
-            (ResultSet::AwaitingDataRow, message_kind::DATA_ROW) => Some(ResultSet::AwaitingCommandComplete),
-            (ResultSet::AwaitingCommandComplete, message_kind::COMMAND_COMPLETE) => Some(ResultSet::Complete),
+            (ResultSet::AwaitingDataRow, BackendMessageKind::DataRow) => {
+                Some(ResultSet::AwaitingCommandComplete)
+            }
+            (ResultSet::AwaitingCommandComplete, BackendMessageKind::CommandComplete) => {
+                Some(ResultSet::Complete)
+            }
             _ => None,
         }
     }
@@ -94,17 +97,19 @@
     /// Adds a message. `value_memory` is the memory that the value takes.
     pub fn add_message(
         &mut self,
-        message: &Message,
+        message: &BackendMessage,
         task: &Task,
         value_memory: &mut MemoryReservation,
     ) -> Result<ReplyStatus, ReplyError> {
         match message.kind {
-            message_kind::PARAMETER_STATUS => self.add_parameter(&message.body),
-            message_kind::ROW_DESCRIPTION | message_kind::DATA_ROW | message_kind::COMMAND_COMPLETE => {
+            BackendMessageKind::ParameterStatus => self.add_parameter(&message.body),
+            BackendMessageKind::RowDescription
+            | BackendMessageKind::DataRow
+            | BackendMessageKind::CommandComplete => {
                 self.add_result_message(message, task, value_memory)?;
             }
-            message_kind::ERROR_RESPONSE => return Ok(self.add_error(&message.body)),
-            message_kind::READY_FOR_QUERY => return Ok(ReplyStatus::ReadyForQuery),
+            BackendMessageKind::ErrorResponse => return Ok(self.add_error(&message.body)),
+            BackendMessageKind::ReadyForQuery => return Ok(ReplyStatus::ReadyForQuery),
             _ => return Err(ReplyError::UnexpectedMessage),
         }
         Ok(ReplyStatus::Incomplete)
@@ -123,14 +128,14 @@
 
     fn add_result_message(
         &mut self,
-        message: &Message,
+        message: &BackendMessage,
         task: &Task,
         value_memory: &mut MemoryReservation,
     ) -> Result<(), ReplyError> {
         self.result_set = self.result_set.after(message.kind).ok_or(ReplyError::UnexpectedMessage)?;
         match task {
             Task::HealthCheck => {
-                if message.kind == message_kind::DATA_ROW {
+                if message.kind == BackendMessageKind::DataRow {
                     self.report = postgres::single_column(&message.body).and_then(load_report::parse);
                 }
                 Ok(())
@@ -143,7 +148,7 @@
     /// the memory budget.
     fn append_to_value(
         &mut self,
-        message: &Message,
+        message: &BackendMessage,
         value_memory: &mut MemoryReservation,
     ) -> Result<(), ReplyError> {
         let size = self.value.len() + message.body.len();
--- a/src/net/backend/reply/tests.rs
+++ b/src/net/backend/reply/tests.rs
@@ -16,14 +16,14 @@
     let mut value_memory = MemoryBudget::new(memory).reservation();
     let mut reply = Reply::default();
     let mut last = Ok(ReplyStatus::Incomplete);
-    for kind in kinds.bytes() {
+    for kind in kinds.bytes().map(|byte| BackendMessageKind::from_byte(byte).unwrap()) {
         let body = match kind {
-            message_kind::DATA_ROW => b"\0\x01\0\0\0\x04x1=1".to_vec(),
-            message_kind::ERROR_RESPONSE => b"SERROR\0C25006\0\0".to_vec(),
-            message_kind::PARAMETER_STATUS => b"commit_clock\x001500\0".to_vec(),
+            BackendMessageKind::DataRow => b"\0\x01\0\0\0\x04x1=1".to_vec(),
+            BackendMessageKind::ErrorResponse => b"SERROR\0C25006\0\0".to_vec(),
+            BackendMessageKind::ParameterStatus => b"commit_clock\x001500\0".to_vec(),
             _ => vec![0; 4],
         };
-        last = reply.add_message(&Message { kind, body }, task, &mut value_memory);
+        last = reply.add_message(&BackendMessage { kind, body }, task, &mut value_memory);
         if last.is_err() {
             break;
         }
--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::net::buffer::MemoryBudget;
-use crate::net::postgres::Message;
+use crate::net::postgres::{BackendMessage, BackendMessageKind};
 use crate::net::Task;
 
 const STARTED_AT: f64 = 100.0;
@@ -19,7 +19,8 @@
     let mut value_memory = MemoryBudget::new(0).reservation();
     if let Some(code) = error_code {
         let body = format!("SERROR\0C{code}\0\0").into_bytes();
-        reply.add_message(&Message { kind: b'E', body }, &Task::HealthCheck, &mut value_memory).unwrap();
+        let error = BackendMessage { kind: BackendMessageKind::ErrorResponse, body };
+        reply.add_message(&error, &Task::HealthCheck, &mut value_memory).unwrap();
     }
     State::Busy { exchange: exchange(), reply, response_started }
 }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -2,8 +2,7 @@
 
 use super::connection::{Connection, ConnectionClosed, State};
 use super::ServiceStatus;
-use crate::net::postgres::message_kind::client;
-use crate::net::postgres::{self, sqlstate, FrameError, Message, ParsedQuery, Startup};
+use crate::net::postgres::{self, sqlstate, ClientMessageKind, FrameError, ParsedQuery, Startup};
 use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Event, Query};
 
@@ -23,7 +22,7 @@
 /// A complete message of a client.
 enum ClientMessage {
     Startup(Startup),
-    Regular(Message),
+    Regular(postgres::ClientMessage),
 }
 
 impl Connection {
@@ -102,30 +101,39 @@
 
     fn process_message(
         &mut self,
-        message: &Message,
+        message: &postgres::ClientMessage,
         id: ConnectionId,
         service: ServiceStatus,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
         match message.kind {
-            client::TERMINATE => Err(ConnectionClosed),
-            client::SYNC => {
+            Some(ClientMessageKind::Terminate) => Err(ConnectionClosed),
+            Some(ClientMessageKind::Sync) => {
                 self.state = State::Idle;
                 Ok(self.output.push(&postgres::ready_for_query())?)
             }
             _ if self.state == State::SkippingToSync => Ok(()),
-            client::QUERY => self.process_query(&message.body, id, service, context),
-            client::PARSE | client::BIND | client::DESCRIBE | client::EXECUTE | client::CLOSE => {
-                self.reject_extended_query()
-            }
-            client::FUNCTION_CALL => {
+            Some(ClientMessageKind::Query) => self.process_query(&message.body, id, service, context),
+            Some(
+                ClientMessageKind::Parse
+                | ClientMessageKind::Bind
+                | ClientMessageKind::Describe
+                | ClientMessageKind::Execute
+                | ClientMessageKind::Close,
+            ) => self.reject_extended_query(),
+            Some(ClientMessageKind::FunctionCall) => {
                 self.send_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served", None)
             }
             // Flush has no effect here. A password or copy message belongs to an exchange that is over or was
             // never started.
-            client::FLUSH | client::PASSWORD => Ok(()),
-            client::COPY_DATA | client::COPY_DONE | client::COPY_FAIL => Ok(()),
-            _ => self.send_fatal_error(id, sqlstate::PROTOCOL_VIOLATION, "unknown message", context),
+            Some(
+                ClientMessageKind::Flush
+                | ClientMessageKind::Password
+                | ClientMessageKind::CopyData
+                | ClientMessageKind::CopyDone
+                | ClientMessageKind::CopyFail,
+            ) => Ok(()),
+            None => self.send_fatal_error(id, sqlstate::PROTOCOL_VIOLATION, "unknown message", context),
         }
     }
 
--- a/src/net/postgres/backend_messages.rs
+++ b/src/net/postgres/backend_messages.rs
@@ -1,8 +1,8 @@
 //! The messages that a PostgreSQL server sends: the pooler receives them from endpoints and sends them to its
 //! clients. A result has one row with one column.
 
-use super::message::{write_message, Message};
-use super::message_kind::server::*;
+use super::message::{write_message, BackendMessage};
+use super::message_kind::BackendMessageKind;
 use super::strings::{parse_string, push_string};
 
 /// The longest value in the row of an endpoint (bytes).
@@ -27,26 +27,29 @@
 const COLUMN_NUMBERS_SIZE: usize = 18;
 
 /// Returns the longest body that an endpoint may send (bytes), or `None` for a kind that it does not send.
-pub(super) fn max_body_length(kind: u8) -> Option<usize> {
+pub(super) fn max_body_length(kind: BackendMessageKind) -> Option<usize> {
     match kind {
-        DATA_ROW => Some(COLUMN_VALUE_OFFSET + MAX_VALUE),
-        ERROR_RESPONSE | NOTICE_RESPONSE | PARAMETER_STATUS => Some(MAX_TEXT_BODY),
-        ROW_DESCRIPTION | COMMAND_COMPLETE => Some(MAX_NAME_BODY),
-        AUTHENTICATION | BACKEND_KEY_DATA => Some(MAX_STARTUP_BODY),
-        READY_FOR_QUERY => Some(READY_FOR_QUERY_BODY.len()),
-        _ => None,
+        BackendMessageKind::DataRow => Some(COLUMN_VALUE_OFFSET + MAX_VALUE),
+        BackendMessageKind::ErrorResponse
+        | BackendMessageKind::NoticeResponse
+        | BackendMessageKind::ParameterStatus => Some(MAX_TEXT_BODY),
+        BackendMessageKind::RowDescription | BackendMessageKind::CommandComplete => Some(MAX_NAME_BODY),
+        BackendMessageKind::Authentication | BackendMessageKind::BackendKeyData => Some(MAX_STARTUP_BODY),
+        BackendMessageKind::ReadyForQuery => Some(READY_FOR_QUERY_BODY.len()),
+        // Answers a query without a statement, and the pooler sends none.
+        BackendMessageKind::EmptyQueryResponse => None,
     }
 }
 
 /// Returns whether the body of an endpoint's message has the form that its kind requires.
-pub(super) fn is_well_formed(message: &Message) -> bool {
+pub(super) fn is_well_formed(message: &BackendMessage) -> bool {
     let body = &message.body;
     match message.kind {
-        ROW_DESCRIPTION => describes_one_column(body),
-        DATA_ROW => single_column(body).is_some(),
-        COMMAND_COMPLETE => parse_string(body).is_some_and(is_printable_ascii),
-        PARAMETER_STATUS => parse_parameter_status(body).is_some(),
-        READY_FOR_QUERY => *body == READY_FOR_QUERY_BODY,
+        BackendMessageKind::RowDescription => describes_one_column(body),
+        BackendMessageKind::DataRow => single_column(body).is_some(),
+        BackendMessageKind::CommandComplete => parse_string(body).is_some_and(is_printable_ascii),
+        BackendMessageKind::ParameterStatus => parse_parameter_status(body).is_some(),
+        BackendMessageKind::ReadyForQuery => *body == READY_FOR_QUERY_BODY,
         _ => true,
     }
 }
@@ -88,7 +91,7 @@
 
 /// Writes a ParameterStatus.
 pub(super) fn write_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
-    write_message(out, PARAMETER_STATUS, |out| {
+    write_message(out, BackendMessageKind::ParameterStatus, |out| {
         push_string(out, name);
         push_string(out, value);
     });
@@ -97,13 +100,13 @@
 /// Returns a ReadyForQuery of a session outside of a transaction.
 pub(crate) fn ready_for_query() -> Vec<u8> {
     let mut out = Vec::new();
-    write_message(&mut out, READY_FOR_QUERY, |out| out.extend(READY_FOR_QUERY_BODY));
+    write_message(&mut out, BackendMessageKind::ReadyForQuery, |out| out.extend(READY_FOR_QUERY_BODY));
     out
 }
 
 /// Returns the answer to a query without a statement.
 pub(crate) fn empty_query_response() -> Vec<u8> {
     let mut out = Vec::new();
-    write_message(&mut out, EMPTY_QUERY_RESPONSE, |_| {});
+    write_message(&mut out, BackendMessageKind::EmptyQueryResponse, |_| {});
     out
 }
--- a/src/net/postgres/error_response.rs
+++ b/src/net/postgres/error_response.rs
@@ -1,7 +1,7 @@
 //! ErrorResponse messages. Their body is a list of fields, each a kind (one byte) and a string.
 
 use super::message::write_message;
-use super::message_kind::server;
+use super::message_kind::BackendMessageKind;
 use super::strings::push_string;
 
 /// The severity, which a server may translate.
@@ -15,7 +15,7 @@
 /// Returns an ErrorResponse.
 pub(crate) fn error_response(severity: &str, code: &str, message: &str, detail: Option<&str>) -> Vec<u8> {
     let mut out = Vec::new();
-    write_message(&mut out, server::ERROR_RESPONSE, |out| {
+    write_message(&mut out, BackendMessageKind::ErrorResponse, |out| {
         push_field(out, SEVERITY, severity);
         push_field(out, SEVERITY_UNTRANSLATED, severity);
         push_field(out, SQLSTATE, code);
--- a/src/net/postgres/framing.rs
+++ b/src/net/postgres/framing.rs
@@ -3,8 +3,8 @@
 use thiserror::Error;
 
 use super::backend_messages::{has_one_column, is_well_formed, max_body_length, COLUMN_VALUE_OFFSET};
-use super::message::{Message, HEADER_SIZE, LENGTH_SIZE};
-use super::message_kind::server;
+use super::message::{BackendMessage, ClientMessage, Message, HEADER_SIZE, LENGTH_SIZE};
+use super::message_kind::{BackendMessageKind, ClientMessageKind};
 use crate::net::buffer::{RingBuffer, MAX_BUFFER_SIZE};
 
 /// The longest body of a client's message (bytes): the buffer must hold the header with it.
@@ -21,36 +21,40 @@
     TooLong,
 }
 
-/// The kind of a message and the length of its body.
+/// The first byte of a message and the length of its body.
 struct MessageHeader {
-    kind: u8,
+    first_byte: u8,
+    /// In bytes.
     body_length: usize,
 }
 
 /// Takes the next message of a client, or returns `None` until it is complete.
-pub(crate) fn read_client_message(buffer: &mut RingBuffer) -> Result<Option<Message>, FrameError> {
+pub(crate) fn read_client_message(buffer: &mut RingBuffer) -> Result<Option<ClientMessage>, FrameError> {
     let Some(header) = peek_header(buffer)? else { return Ok(None) };
     if header.body_length > MAX_CLIENT_BODY {
         return Err(FrameError::TooLong);
     }
-    Ok(take_message(buffer, &header))
+    let kind = ClientMessageKind::from_byte(header.first_byte);
+    Ok(take_body(buffer, &header).map(|body| Message { kind, body }))
 }
 
 /// Takes the next message of an endpoint, or returns `None` until it is complete.
 ///
 /// A message that no endpoint would send is rejected as early as its first bytes show it, instead of waiting
 /// for a rest that may never arrive.
-pub(crate) fn read_server_message(buffer: &mut RingBuffer) -> Result<Option<Message>, FrameError> {
-    let Some([kind]) = buffer.peek() else { return Ok(None) };
+pub(crate) fn read_backend_message(buffer: &mut RingBuffer) -> Result<Option<BackendMessage>, FrameError> {
+    let Some([first_byte]) = buffer.peek() else { return Ok(None) };
+    let kind = BackendMessageKind::from_byte(first_byte).ok_or(FrameError::Malformed)?;
     let max_body_length = max_body_length(kind).ok_or(FrameError::Malformed)?;
     let Some(header) = peek_header(buffer)? else { return Ok(None) };
     if header.body_length > max_body_length {
         return Err(FrameError::TooLong);
     }
-    if kind == server::DATA_ROW {
+    if kind == BackendMessageKind::DataRow {
         check_row_start(buffer, &header)?;
     }
-    let Some(message) = take_message(buffer, &header) else { return Ok(None) };
+    let Some(body) = take_body(buffer, &header) else { return Ok(None) };
+    let message = Message { kind, body };
     if !is_well_formed(&message) {
         return Err(FrameError::Malformed);
     }
@@ -69,18 +73,17 @@
 
 /// Returns the header of the next message, or `None` until it is complete.
 fn peek_header(buffer: &RingBuffer) -> Result<Option<MessageHeader>, FrameError> {
-    let Some([kind, length @ ..]) = buffer.peek::<HEADER_SIZE>() else { return Ok(None) };
+    let Some([first_byte, length @ ..]) = buffer.peek::<HEADER_SIZE>() else { return Ok(None) };
     let length = u32::from_be_bytes(length) as usize;
     let body_length = length.checked_sub(LENGTH_SIZE).ok_or(FrameError::Malformed)?;
-    Ok(Some(MessageHeader { kind, body_length }))
+    Ok(Some(MessageHeader { first_byte, body_length }))
 }
 
-/// Takes the message with this header, or returns `None` until it is complete.
-fn take_message(buffer: &mut RingBuffer, header: &MessageHeader) -> Option<Message> {
+/// Takes the message with this header and returns its body, or returns `None` until it is complete.
+fn take_body(buffer: &mut RingBuffer, header: &MessageHeader) -> Option<Vec<u8>> {
     if buffer.len() < HEADER_SIZE + header.body_length {
         return None;
     }
     buffer.skip(HEADER_SIZE);
-    let body = buffer.take(header.body_length);
-    Some(Message { kind: header.kind, body })
+    Some(buffer.take(header.body_length))
 }
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -5,10 +5,10 @@
 //!
 //! | file | job | depends on |
 //! | --- | --- | --- |
-//! | `message_kind` | The byte that names the kind of a message | |
+//! | `message_kind` | Kinds of messages and their bytes | |
 //! | `strings` | Strings that end with a zero | |
 //! | `sqlstate` | Error codes | |
-//! | `message` | Header and body; writing | |
+//! | `message` | Header and body; writing | `message_kind` |
 //! | `backend_messages` | The messages of a PostgreSQL server | `message`, `message_kind`, `strings` |
 //! | `error_response` | The ErrorResponse among them | `message`, `message_kind`, `strings` |
 //! | `framing` | Reading of messages | `backend_messages`, `message`, `message_kind` |
@@ -20,7 +20,7 @@
 mod error_response;
 mod framing;
 mod message;
-pub(crate) mod message_kind;
+mod message_kind;
 mod query;
 mod query_comment;
 pub(crate) mod sqlstate;
@@ -33,8 +33,9 @@
     empty_query_response, parse_parameter_status, ready_for_query, single_column,
 };
 pub(crate) use error_response::{error_response, parse_error_response};
-pub(crate) use framing::{read_client_message, read_server_message, FrameError};
-pub(crate) use message::{append_message, Message};
+pub(crate) use framing::{read_backend_message, read_client_message, FrameError};
+pub(crate) use message::{append_message, BackendMessage, ClientMessage};
+pub(crate) use message_kind::{BackendMessageKind, ClientMessageKind};
 pub(crate) use query::{parse_query, query_message, ParsedQuery};
 pub(crate) use sqlstate::is_statement_error;
 pub(crate) use startup::{read_startup, session_start, startup_message, CancelKey, Startup};
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use super::message::{write_message, HEADER_SIZE};
-use super::message_kind::client;
+use super::message_kind::ClientMessageKind;
 use super::query_comment::{CommentError, CommentFields, RawFields};
 use super::strings::parse_string;
 use crate::net::{Query, Statement};
@@ -63,7 +63,7 @@
 /// Returns a Query message for an endpoint.
 pub(crate) fn query_message(sql: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(HEADER_SIZE + sql.len() + 1);
-    write_message(&mut out, client::QUERY, |out| {
+    write_message(&mut out, ClientMessageKind::Query, |out| {
         out.extend(sql);
         out.push(0);
     });
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -3,7 +3,7 @@
 use super::backend_messages::{ready_for_query, write_parameter_status};
 use super::framing::FrameError;
 use super::message::{write_message, write_with_length};
-use super::message_kind::server;
+use super::message_kind::BackendMessageKind;
 use super::strings::push_string;
 use crate::net::buffer::RingBuffer;
 
@@ -108,11 +108,11 @@
 /// Returns the answer to a client's startup packet, up to and with ReadyForQuery.
 pub(crate) fn session_start(CancelKey(process, secret): CancelKey) -> Vec<u8> {
     let mut out = Vec::new();
-    write_message(&mut out, server::AUTHENTICATION, |out| out.extend(AUTHENTICATION_OK));
+    write_message(&mut out, BackendMessageKind::Authentication, |out| out.extend(AUTHENTICATION_OK));
     for (name, value) in SESSION_PARAMETERS {
         write_parameter_status(&mut out, name, value);
     }
-    write_message(&mut out, server::BACKEND_KEY_DATA, |out| {
+    write_message(&mut out, BackendMessageKind::BackendKeyData, |out| {
         out.extend(process.to_be_bytes());
         out.extend(secret.to_be_bytes());
     });
--- a/src/net/postgres/tests/messages.rs
+++ b/src/net/postgres/tests/messages.rs
@@ -18,7 +18,7 @@
 #[test]
 fn appended_message_follows_the_bytes_before_it() {
     let mut out = b"before".to_vec();
-    append_message(&mut out, &Message { kind: b'D', body: b"abc".to_vec() });
+    append_message(&mut out, &Message { kind: BackendMessageKind::DataRow, body: b"abc".to_vec() });
     assert_eq!(out, b"beforeD\0\0\0\x07abc");
 }
 
--- a/src/net/postgres/tests/mod.rs
+++ b/src/net/postgres/tests/mod.rs
@@ -1,10 +1,12 @@
 //! Tests of the parsing and writing of PostgreSQL messages.
 
 mod framing;
+mod message_kind;
 mod messages;
 mod query;
 mod startup;
 
+use super::message::{write_message, Message};
 use super::*;
 use crate::net::buffer::{MemoryBudget, RingBuffer, MAX_BUFFER_SIZE};
 
@@ -18,9 +20,9 @@
 }
 
 /// A message as it is on the wire.
-fn wire_message(kind: u8, body: &[u8]) -> Vec<u8> {
+fn wire_message(kind: impl Into<u8>, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
-    append_message(&mut out, &Message { kind, body: body.to_vec() });
+    write_message(&mut out, kind, |out| out.extend(body));
     out
 }
 
