--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -49,8 +49,6 @@
     pub session_token: Option<f64>,
     /// Whether the query carries an idempotency key.
     pub has_idempotency_key: bool,
-    /// Whether the client marked the query as a retry of its own.
-    pub client_retry: bool,
     /// The session that the query belongs to, where it names one.
     pub session: Option<String>,
     /// The statement to forward.
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -70,7 +70,7 @@
             session: session.map(Into::into),
             tenant: self.tenant(&query.tenant),
             predicted_work: None,
-            client_retry: query.client_retry,
+            client_retry: false,
         }
     }
 }
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -80,7 +80,6 @@
         received_at: 0.0,
         session_token: fields.session_token,
         has_idempotency_key: fields.has_idempotency_key,
-        client_retry: fields.client_retry,
         session: find_quoted_key(statement).map(String::from),
         statement: Statement { text: sql.into(), timeout: fields.timeout_position, memory: None },
     }
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -14,9 +14,6 @@
 const CLIENT_RETRY: &str = "r";
 const SESSION_TOKEN: &str = "after";
 
-/// The value of [`CLIENT_RETRY`] that marks a retry.
-const IS_RETRY: &str = "1";
-
 /// The most digits of a number: a float holds all such numbers exactly. A time in milliseconds has 13.
 const MAX_DIGITS: usize = 15;
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -65,7 +62,6 @@
     /// The commit that the query must see (Unix seconds).
     pub session_token: Option<f64>,
     pub has_idempotency_key: bool,
-    pub client_retry: bool,
 }
 
 /// The text of a value, which is never empty, and its place in the query.
@@ -96,6 +92,7 @@
     group: Option<RawValue<'a>>,
     timeout: Option<RawValue<'a>>,
     idempotency_key: Option<RawValue<'a>>,
+    /// Marks a retry by the client. It may have any value, which nothing reads.
     client_retry: Option<RawValue<'a>>,
     session_token: Option<RawValue<'a>>,
 }
@@ -154,7 +151,6 @@
             timeout_position: timeout.position(),
             session_token,
             has_idempotency_key: self.idempotency_key.is_some(),
-            client_retry: self.client_retry.is_some_and(|value| value.text == IS_RETRY),
         })
     }
 }
