--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::net::buffer::MemoryBudget;
-use crate::net::postgres::Message;
+use crate::net::postgres::{BackendMessage, BackendMessageKind};
 use crate::net::Task;
 
 /// When the exchanges of these tests start.
@@ -22,7 +22,8 @@
     let mut value_memory = MemoryBudget::new(0).reservation();
     if let Some(code) = error_code {
         let body = format!("SERROR\0C{code}\0\0").into_bytes();
-        reply.add_message(&Message { kind: b'E', body }, &Task::HealthCheck, &mut value_memory).unwrap();
+        let error = BackendMessage { kind: BackendMessageKind::ErrorResponse, body };
+        reply.add_message(&error, &Task::HealthCheck, &mut value_memory).unwrap();
     }
     State::Busy { exchange: exchange(), reply, response_started }
 }
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -1,10 +1,13 @@
-//! Parsing of a client's query: a leading comment with the fields of the request, and a statement.
+//! Query messages: parsing of those that clients send, which are a leading comment with the fields of the
+//! request and a statement, and writing of those for endpoints.
 
 use std::ops::Range;
 
 use thiserror::Error;
 
-use super::query_comment::{CommentFields, RawFields};
+use super::message::{write_message, HEADER_SIZE};
+use super::message_kind::ClientMessageKind;
+use super::query_comment::{CommentError, CommentFields, RawFields};
 use super::strings::parse_string;
 use crate::net::{Query, Statement};
 
@@ -17,36 +20,28 @@
 pub(crate) enum ParsedQuery {
     /// The query has no statement.
     Empty,
+    /// The query has a comment with valid fields, and a statement.
     Query(Box<Query>),
 }
 
 /// Why a client's query is rejected. The texts are sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum QueryError {
+    /// The body of the message is not one string.
     #[error("a query must be UTF-8 and end with its only zero")]
     InvalidText,
+    /// The query does not start with a comment.
     #[error("no leading comment")]
     NoComment,
+    /// The leading comment has no end.
     #[error("the comment does not end")]
     UnterminatedComment,
+    /// Nothing follows the comment.
     #[error("no statement behind the comment")]
     NoStatement,
-    #[error("the comment is not made of names and values")]
-    NotNameAndValue,
-    #[error("a value of the comment is empty or there twice")]
-    EmptyOrRepeatedValue,
-    #[error("no id in the comment")]
-    NoId,
-    #[error("no class in the comment")]
-    NoClass,
-    #[error("no group number in the comment")]
-    NoGroup,
-    #[error("no d in the comment")]
-    NoTimeout,
-    #[error("d is not a number of milliseconds above 0")]
-    InvalidTimeout,
-    #[error("after is not a time in milliseconds")]
-    InvalidSessionToken,
+    /// The comment does not describe a request.
+    #[error(transparent)]
+    Comment(#[from] CommentError),
 }
 
 /// Parses the body of a client's query message.
@@ -65,6 +60,16 @@
     Ok(ParsedQuery::Query(Box::new(build_query(sql, statement, fields))))
 }
 
+/// Returns a Query message for an endpoint.
+pub(crate) fn query_message(sql: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(HEADER_SIZE + sql.len() + 1);
+    write_message(&mut out, ClientMessageKind::Query, |out| {
+        out.extend(sql);
+        out.push(0);
+    });
+    out
+}
+
 fn build_query(sql: &str, statement: &str, fields: CommentFields) -> Query {
     Query {
         id: fields.id,
@@ -74,7 +79,6 @@
         timeout: fields.timeout,
         session_token: fields.session_token,
         has_idempotency_key: fields.has_idempotency_key,
-        client_retry: fields.client_retry,
         session: find_quoted_key(statement).map(String::from),
         statement: Statement { text: sql.into(), timeout: fields.timeout_position, memory: None },
     }
