--- a/src/adapter/host.rs
+++ b/src/adapter/host.rs
@@ -6,11 +6,10 @@
 use pg_pooler::interface::{Action, Endpoint, Event, UpdateKind};
 use pg_pooler::Policy;
 
-use crate::decode::{
-    decode_line, InstanceId, InstanceLine, InstanceMessage, InventoryId, Message, NewInstance,
+use crate::wire::{
+    decode_line, write_reply, InstanceId, InstanceLine, InstanceMessage, InventoryId, Message, NewInstance,
+    WireError,
 };
-use crate::encode::write_reply;
-use crate::error::WireError;
 
 /// Whether the simulator waits for what was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +49,7 @@
                 self.inventories.insert(id, endpoints);
             }
             Message::OpenInstance(new_instance) => self.open_instance(*new_instance)?,
-            Message::Kill { instance } => self.kill_instance(instance),
+            Message::KillInstance { instance } => self.kill_instance(instance),
             Message::Ignored => {}
             Message::Instance(line) => self.handle_instance_line(&line)?,
         }
--- a/src/adapter/main.rs
+++ b/src/adapter/main.rs
@@ -2,11 +2,8 @@
 //! batch of lines to standard output.
 #![forbid(unsafe_code)]
 
-mod decode;
-mod encode;
-mod error;
-mod fields;
 mod host;
+mod wire;
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
