--- a/src/adapter/host.rs
+++ b/src/adapter/host.rs
@@ -7,8 +7,8 @@
 use pg_pooler::Policy;
 
 use crate::wire::{
-    decode_line, write_reply, InstanceId, InstanceLine, InstanceMessage, InventoryId, Message, NewInstance,
-    WireError,
+    decode_line, write_reply, BaseTime, InstanceId, InstanceLine, InstanceMessage, InventoryId, Message,
+    NewInstance, WireError,
 };
 
 /// Whether the simulator waits for what was written.
@@ -23,8 +23,8 @@
 /// An instance of the policy.
 struct Instance {
     policy: Policy,
-    /// The time to which log positions on the wire are relative (Unix seconds).
-    base_time: f64,
+    /// The time to which the log positions in its messages are relative.
+    base_time: BaseTime,
 }
 
 /// Runs the instances, and collects their actions until the batch is complete.
@@ -71,7 +71,8 @@
 
     /// Passes an event to its instance. A line for an unknown instance is checked and has no effect.
     fn handle_instance_line(&mut self, line: &InstanceLine) -> Result<(), WireError> {
-        let base_time = self.instances.get(&line.instance).map_or(0.0, |instance| instance.base_time);
+        let base_time =
+            self.instances.get(&line.instance).map(|instance| instance.base_time).unwrap_or_default();
         let event = self.resolve(line.decode(base_time)?)?;
         let Some(instance) = self.instances.get_mut(&line.instance) else { return Ok(()) };
         let mut actions = Vec::new();
--- /dev/null
+++ b/src/adapter/wire/decode/endpoints.rs
@@ -0,0 +1,41 @@
+//! Decodes the endpoints of an inventory, and updates of the endpoint list.
+
+use pg_pooler::interface::{Endpoint, EndpointStatus, UpdateKind};
+use serde_json::Value;
+
+use crate::wire::fields::Fields;
+use crate::wire::{layout, names, InventoryId, WireError};
+
+/// Decodes the entries of an inventory.
+pub fn decode_endpoints(entries: &[Value]) -> Result<Vec<Endpoint>, WireError> {
+    entries.iter().map(decode_endpoint).collect()
+}
+
+fn decode_endpoint(entry: &Value) -> Result<Endpoint, WireError> {
+    let fields = Fields(entry.as_array().ok_or(WireError::EntryNotAnArray)?);
+    Ok(Endpoint {
+        id: fields.text(layout::endpoint::ID)?.into(),
+        zone: fields.integer_or_zero(layout::endpoint::ZONE)? as u32,
+        group: fields.integer_or_zero(layout::endpoint::GROUP)? as u32,
+        status: decode_status(fields)?,
+        started_at: fields.number_or_zero(layout::endpoint::STARTED_AT)?,
+        primary: names::is_set(fields.number_or_zero(layout::endpoint::IS_PRIMARY)?),
+    })
+}
+
+fn decode_status(fields: Fields) -> Result<EndpointStatus, WireError> {
+    let phase = fields.text(layout::endpoint::STATUS)?;
+    names::endpoint_status(phase).ok_or_else(|| WireError::UnknownPhase(phase.to_string()))
+}
+
+/// Decodes an update of the endpoint list: what it contains, and the inventory that holds its endpoints.
+pub fn decode_update(fields: Fields) -> Result<(UpdateKind, InventoryId), WireError> {
+    let kind = decode_update_kind(fields)?;
+    let inventory = fields.integer_or_zero(layout::endpoint_update::INVENTORY)? as InventoryId;
+    Ok((kind, inventory))
+}
+
+fn decode_update_kind(fields: Fields) -> Result<UpdateKind, WireError> {
+    let kind = fields.text(layout::endpoint_update::KIND)?;
+    names::update_kind(kind).ok_or_else(|| WireError::UnknownUpdateKind(kind.to_string()))
+}
--- /dev/null
+++ b/src/adapter/wire/decode/instance_messages.rs
@@ -0,0 +1,88 @@
+//! Decodes the messages that the policy of an instance handles.
+
+use std::sync::Arc;
+
+use pg_pooler::interface::{Event, Request, RequestId, UpdateKind};
+use serde_json::Value;
+
+use super::{endpoints, results, MILLIS_PER_SECOND};
+use crate::wire::fields::Fields;
+use crate::wire::names::{request_option, InstanceMessageName};
+use crate::wire::{layout, BaseTime, InstanceId, InventoryId, WireError};
+
+/// A line for one instance. Its times can only be decoded with the base time of that instance.
+pub struct InstanceLine {
+    /// The instance that it is for.
+    pub instance: InstanceId,
+    name: InstanceMessageName,
+    values: Vec<Value>,
+}
+
+/// A decoded line for one instance.
+pub enum InstanceMessage {
+    /// The endpoints have changed to those of an inventory.
+    EndpointsFromInventory { kind: UpdateKind, inventory: InventoryId },
+    /// An event that is complete in itself.
+    Event(Event),
+}
+
+impl InstanceLine {
+    /// A line whose values are not decoded yet.
+    pub(super) fn new(instance: InstanceId, name: InstanceMessageName, values: Vec<Value>) -> InstanceLine {
+        InstanceLine { instance, name, values }
+    }
+
+    /// Decodes the message; `base_time` is that of the instance.
+    pub fn decode(&self, base_time: BaseTime) -> Result<InstanceMessage, WireError> {
+        let fields = Fields(&self.values);
+        let event = match self.name {
+            InstanceMessageName::EndpointsUpdated => {
+                let (kind, inventory) = endpoints::decode_update(fields)?;
+                return Ok(InstanceMessage::EndpointsFromInventory { kind, inventory });
+            }
+            InstanceMessageName::RequestReceived => Event::Request(decode_request(fields)?),
+            InstanceMessageName::AttemptFinished => {
+                Event::AttemptFinished(results::decode_attempt_result(fields, base_time)?)
+            }
+            InstanceMessageName::HealthChecked => results::decode_health_check(fields, base_time)?,
+            InstanceMessageName::ResponseStarted => Event::ResponseStarted { id: decode_request_id(fields)? },
+            InstanceMessageName::ClientDisconnected => {
+                Event::ClientDisconnected { id: decode_request_id(fields)? }
+            }
+            InstanceMessageName::TimerExpired => Event::Timer { cookie: decode_cookie(fields)? },
+        };
+        Ok(InstanceMessage::Event(event))
+    }
+}
+
+/// Decodes the identifier of the request that a message is about.
+pub(super) fn decode_request_id(fields: Fields) -> Result<RequestId, WireError> {
+    Ok(fields.text(layout::REQUEST_ID)?.into())
+}
+
+fn decode_cookie(fields: Fields) -> Result<u64, WireError> {
+    Ok(fields.integer_or_zero(layout::timer::COOKIE)? as u64)
+}
+
+fn decode_request(fields: Fields) -> Result<Request, WireError> {
+    let options = fields.integer_or_zero(layout::request::OPTIONS)?;
+    let session_token_age = decode_session_token_age(fields)?;
+    let predicted_work = fields.value(layout::request::PREDICTED_WORK).as_f64();
+    Ok(Request {
+        id: decode_request_id(fields)?,
+        timeout: fields.number(layout::request::TIMEOUT)?,
+        session_token_age,
+        session: fields.value(layout::request::SESSION).as_str().map(Arc::from),
+        tenant: fields.integer_or_zero(layout::request::TENANT)? as usize,
+        predicted_work: predicted_work.filter(|_| options & request_option::PREDICTED_WORK != 0),
+        client_retry: options & request_option::CLIENT_RETRY != 0,
+        class: fields.integer_or_zero(layout::request::CLASS)? as usize,
+        group: fields.integer_or_zero(layout::request::GROUP)? as u32,
+    })
+}
+
+/// Decodes the age of the session's last write (seconds); `None` where the client does not carry it.
+fn decode_session_token_age(fields: Fields) -> Result<Option<f64>, WireError> {
+    let age = fields.number_or_zero(layout::request::SESSION_TOKEN_AGE)? / MILLIS_PER_SECOND;
+    Ok(Some(age).filter(|age| *age > 0.0))
+}
--- /dev/null
+++ b/src/adapter/wire/decode/results.rs
@@ -0,0 +1,57 @@
+//! Decodes the results of attempts and health checks, and the load reports in them.
+
+use pg_pooler::interface::{AttemptResult, Event, LoadReport, Outcome};
+use serde_json::Value;
+
+use super::instance_messages::decode_request_id;
+use super::MILLIS_PER_SECOND;
+use crate::wire::fields::{Field, Fields};
+use crate::wire::{layout, names, BaseTime, WireError};
+
+/// A log position and a role share one number. These bits hold the role; the position is in the bits above.
+const ROLE_MASK: i64 = 3;
+const ROLE_BITS: u32 = 2;
+
+/// Decodes the result of an attempt.
+pub fn decode_attempt_result(fields: Fields, base_time: BaseTime) -> Result<AttemptResult, WireError> {
+    let position_and_role = fields.integer_or_zero(layout::attempt_result::POSITION_AND_ROLE)?;
+    Ok(AttemptResult {
+        id: decode_request_id(fields)?,
+        endpoint: fields.text(layout::attempt_result::ENDPOINT)?.into(),
+        request_finished: fields.flag(layout::attempt_result::REQUEST_FINISHED),
+        elapsed: fields.number_or_zero(layout::attempt_result::ELAPSED)?,
+        attempt: fields.integer_or_zero(layout::attempt_result::ATTEMPT)? as usize,
+        outcome: decode_outcome(fields, layout::attempt_result::OUTCOME)?,
+        log_position: decode_log_position(position_and_role, base_time),
+        primary: names::is_primary(position_and_role & ROLE_MASK),
+        report: decode_load_report(fields.value(layout::attempt_result::LOAD_REPORT), base_time),
+    })
+}
+
+/// Decodes the log position of an answer; `None` where the answer carries none.
+fn decode_log_position(position_and_role: i64, base_time: BaseTime) -> Option<f64> {
+    let millis = position_and_role >> ROLE_BITS;
+    (millis > 0).then(|| base_time.log_position(millis as f64 / MILLIS_PER_SECOND))
+}
+
+/// Decodes the result of a health check.
+pub fn decode_health_check(fields: Fields, base_time: BaseTime) -> Result<Event, WireError> {
+    Ok(Event::HealthChecked {
+        endpoint: fields.text(layout::health_check::ENDPOINT)?.into(),
+        outcome: decode_outcome(fields, layout::health_check::OUTCOME)?,
+        report: decode_load_report(fields.value(layout::health_check::LOAD_REPORT), base_time),
+    })
+}
+
+fn decode_load_report(report: &Value, base_time: BaseTime) -> LoadReport {
+    let log_position = report[names::load_report::LOG_POSITION].as_f64();
+    LoadReport {
+        log_position: log_position.map(|offset| base_time.log_position(offset)),
+        primary: report[names::load_report::IS_PRIMARY].as_f64().map(names::is_set),
+    }
+}
+
+fn decode_outcome(fields: Fields, field: Field) -> Result<Outcome, WireError> {
+    let code = fields.integer_or_zero(field)?;
+    names::outcome(code).ok_or(WireError::UnknownOutcome(code))
+}
--- a/src/adapter/wire/mod.rs
+++ b/src/adapter/wire/mod.rs
@@ -3,6 +3,7 @@
 //! [`names`] and [`layout`] map the words of the wire to the terms that the code uses; no other module knows
 //! them.
 
+mod base_time;
 mod decode;
 mod encode;
 mod error;
@@ -10,6 +11,7 @@
 mod layout;
 mod names;
 
+pub use base_time::BaseTime;
 pub use decode::{decode_line, InstanceLine, InstanceMessage, Message, NewInstance};
 pub use encode::write_reply;
 pub use error::WireError;
