--- a/src/adapter/host.rs
+++ b/src/adapter/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of the policy that this process hosts. Nothing is decided here.
+//! The instances of the policy that this process runs. Nothing is decided in the adapter.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -29,15 +29,21 @@
 
 /// Runs the instances, and collects their actions until the batch is complete.
 #[derive(Default)]
-pub struct Host {
+pub struct Instances {
+    /// The time of the last turn (seconds).
     now: f64,
+    /// The endpoint lists to which updates refer.
     inventories: BTreeMap<InventoryId, Vec<Endpoint>>,
     instances: BTreeMap<InstanceId, Instance>,
+    /// The actions of the batch so far, in the order in which they were taken.
     pending_actions: Vec<(InstanceId, Action)>,
 }
 
-impl Host {
+impl Instances {
     /// Handles one line. Writes the reply where the line ends a batch.
+    ///
+    /// Fails where the line is malformed, refers to an unknown inventory or has settings out of their range, and
+    /// where the reply cannot be written. The instances cannot go on then.
     pub fn handle_line(&mut self, line: &[u8], output: &mut impl Write) -> Result<BatchStatus, WireError> {
         match decode_line(line)? {
             Message::Turn { now } => self.now = now,
@@ -71,8 +77,8 @@
 
     /// Passes an event to its instance. A line for an unknown instance is checked and has no effect.
     fn handle_instance_line(&mut self, line: &InstanceLine) -> Result<(), WireError> {
-        let base_time =
-            self.instances.get(&line.instance).map(|instance| instance.base_time).unwrap_or_default();
+        let instance = self.instances.get(&line.instance);
+        let base_time = instance.map(|instance| instance.base_time).unwrap_or_default();
         let event = self.resolve(line.decode(base_time)?)?;
         let Some(instance) = self.instances.get_mut(&line.instance) else { return Ok(()) };
         let mut actions = Vec::new();
@@ -85,14 +91,22 @@
     fn resolve(&self, message: InstanceMessage) -> Result<Event, WireError> {
         match message {
             InstanceMessage::Event(event) => Ok(event),
-            InstanceMessage::EndpointsFromInventory { kind: kind @ UpdateKind::WatchFailed, .. } => {
-                Ok(Event::Endpoints { kind, endpoints: Vec::new() })
-            }
             InstanceMessage::EndpointsFromInventory { kind, inventory } => {
-                let endpoints = self.inventories.get(&inventory);
-                let endpoints = endpoints.cloned().ok_or(WireError::UnknownInventory(inventory))?;
+                let endpoints = self.endpoints_of_update(kind, inventory)?;
                 Ok(Event::Endpoints { kind, endpoints })
             }
         }
     }
+
+    /// The endpoints of an update. A failed watch has none, and refers to no inventory.
+    fn endpoints_of_update(
+        &self,
+        kind: UpdateKind,
+        inventory: InventoryId,
+    ) -> Result<Vec<Endpoint>, WireError> {
+        if kind == UpdateKind::WatchFailed {
+            return Ok(Vec::new());
+        }
+        self.inventories.get(&inventory).cloned().ok_or(WireError::UnknownInventory(inventory))
+    }
 }
--- a/src/adapter/main.rs
+++ b/src/adapter/main.rs
@@ -2,18 +2,18 @@
 //! batch of lines to standard output.
 #![forbid(unsafe_code)]
 
-mod host;
+mod instances;
 mod wire;
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-use host::{BatchStatus, Host};
+use instances::{BatchStatus, Instances};
 
 const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
-    let mut host = Host::default();
+    let mut instances = Instances::default();
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
     let mut line = Vec::new();
@@ -29,7 +29,7 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        match host.handle_line(&line, &mut output) {
+        match instances.handle_line(&line, &mut output) {
             Ok(BatchStatus::Open) => {}
             Ok(BatchStatus::Replied) => {
                 // The simulator has ended where it no longer reads.
