--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -41,6 +41,17 @@
     Replica,
 }
 
+impl Role {
+    /// The role of an endpoint that is the primary, or is not.
+    pub const fn primary_if(is_primary: bool) -> Role {
+        if is_primary {
+            Role::Primary
+        } else {
+            Role::Replica
+        }
+    }
+}
+
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -37,7 +37,7 @@
             request_finished: response.is_some() || client == ClientState::NotWaiting,
             elapsed: span_of(completion.elapsed),
             log_position: completion.log_position.map(LogPosition::from_secs),
-            role: completion.primary.map(|primary| if primary { Role::Primary } else { Role::Replica }),
+            role: completion.primary.map(Role::primary_if),
             report: completion.report,
         };
         // The policy learns what the answer says of the endpoint before the client can act on the answer.
