--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint.rs
@@ -304,7 +304,7 @@
 
     /// Whether it has answered nothing since this time.
     pub(super) fn is_silent_since(&self, time: LocalInstant) -> bool {
-        self.last_response_at < Some(time)
+        self.last_response_at.is_none_or(|answered_at| answered_at < time)
     }
 
     /// When the latest of the attempts was sent that it has served.
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -49,7 +49,7 @@
     pub(super) fn is_reached_at(self, position: Option<LogPosition>) -> bool {
         match self {
             RequiredPosition::Any => true,
-            RequiredPosition::AtLeast(required) => position >= Some(required),
+            RequiredPosition::AtLeast(required) => position.is_some_and(|position| position >= required),
             RequiredPosition::Unknown => false,
         }
     }
@@ -112,7 +112,8 @@
 
 /// Whether an endpoint is known to be so far behind that no bounded read may go there.
 pub(super) fn is_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
-    endpoint.log_position() < Some(cluster.likely_now() - cluster.shortest_staleness())
+    let required = cluster.likely_now() - cluster.shortest_staleness();
+    endpoint.log_position().is_none_or(|position| position < required)
 }
 
 /// Until when an endpoint that has just rejected a read is taken to be behind: it needs at least as long as
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -257,11 +257,13 @@
     /// Whether an ejected endpoint may get the read: one that still answers other requests; or one that
     /// answers none, if there is no healthy one. One that is known to be behind may not.
     fn is_usable_ejected(&self, endpoint: EndpointKey) -> bool {
+        if self.cluster.is_healthy(endpoint) {
+            return false;
+        }
         let is_primary = Some(endpoint) == self.primary;
         let is_recent = is_primary || self.freshness(endpoint) != Freshness::Stale;
         let may_answer = self.is_retry_due(endpoint) || !is_primary && self.has_answered_recently(endpoint);
-        let is_ejected = !self.cluster.is_healthy(endpoint);
-        is_ejected && is_recent && may_answer && self.slow_start_admits(endpoint)
+        is_recent && may_answer && self.slow_start_admits(endpoint)
     }
 
     /// Whether it has answered a request in the time of the longest ejection, and since its last failure to
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -81,9 +81,11 @@
     pub(super) fn record_request(&mut self, group: u32, needs_primary: bool, cluster: &Cluster) {
         let is_read = f64::from(u8::from(!needs_primary));
         self.read_share += READ_SHARE_WEIGHT * (is_read - self.read_share);
-        if cluster.group(group).is_some() {
-            let traffic = self.traffic.entry(group).or_default();
-            traffic.record(cluster.now(), cluster.settings().overload_window);
+        let (now, overload_window) = (cluster.now(), cluster.settings().overload_window);
+        if let Some(traffic) = self.traffic.get_mut(&group) {
+            traffic.record(now, overload_window);
+        } else if cluster.group(group).is_some() {
+            self.traffic.entry(group).or_default().record(now, overload_window);
         }
     }
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,7 +1,8 @@
 //! Times of the policy. An instant on the pooler's clock, an instant on the database hosts' clock and a
 //! span of time are types of their own, so that the compiler rejects a mix-up.
 //!
-//! All of them count seconds in double precision. They are ordered by [`f64::total_cmp`].
+//! All of them count seconds in double precision, and are compared as such. None of them is ever NaN: numbers
+//! from outside are checked where they come in.
 
 use std::cmp::Ordering;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
@@ -37,21 +38,46 @@
 
         impl PartialEq for $type {
             fn eq(&self, other: &$type) -> bool {
-                self.cmp(other) == Ordering::Equal
+                self.0 == other.0
             }
         }
 
         impl Eq for $type {}
 
+        // The operators compare the numbers at once: they stand on the path of each request.
         impl PartialOrd for $type {
             fn partial_cmp(&self, other: &$type) -> Option<Ordering> {
                 Some(self.cmp(other))
             }
+
+            fn lt(&self, other: &$type) -> bool {
+                self.0 < other.0
+            }
+
+            fn le(&self, other: &$type) -> bool {
+                self.0 <= other.0
+            }
+
+            fn gt(&self, other: &$type) -> bool {
+                self.0 > other.0
+            }
+
+            fn ge(&self, other: &$type) -> bool {
+                self.0 >= other.0
+            }
         }
 
         impl Ord for $type {
             fn cmp(&self, other: &$type) -> Ordering {
-                self.0.total_cmp(&other.0)
+                self.0.partial_cmp(&other.0).unwrap_or(Ordering::Equal)
+            }
+
+            fn max(self, other: $type) -> $type {
+                $type(self.0.max(other.0))
+            }
+
+            fn min(self, other: $type) -> $type {
+                $type(self.0.min(other.0))
             }
         }
 
