--- a/src/policy/latency.rs
+++ b/src/policy/admission/latency.rs
@@ -4,35 +4,35 @@
 
 /// Exponentially weighted means of a latency and of its deviation from the mean.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct LatencyEstimator {
+pub(crate) struct LatencyEstimator {
     mean: Span,
     deviation: Span,
 }
 
 impl LatencyEstimator {
     /// An estimate to begin with; its deviation is as large as its mean.
-    pub(super) fn new(initial: Span) -> LatencyEstimator {
+    pub(crate) fn new(initial: Span) -> LatencyEstimator {
         LatencyEstimator { mean: initial, deviation: initial }
     }
 
     /// Takes in a measurement, which has this weight against all earlier ones.
-    pub(super) fn record(&mut self, latency: Span, weight: f64) {
+    pub(crate) fn record(&mut self, latency: Span, weight: f64) {
         self.deviation += weight * ((latency - self.mean).abs() - self.deviation);
         self.mean += weight * (latency - self.mean);
     }
 
     /// The mean latency.
-    pub(super) fn mean(&self) -> Span {
+    pub(crate) fn mean(&self) -> Span {
         self.mean
     }
 
     /// The mean deviation from the mean latency.
-    pub(super) fn deviation(&self) -> Span {
+    pub(crate) fn deviation(&self) -> Span {
         self.deviation
     }
 
     /// The mean plus so many deviations.
-    pub(super) fn upper(&self, deviations: f64) -> Span {
+    pub(crate) fn upper(&self, deviations: f64) -> Span {
         self.mean + deviations * self.deviation
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission/mod.rs
@@ -4,13 +4,14 @@
 //! objective. The share is larger for requests of higher priority, so that under overload the others are
 //! rejected first. The prediction is the recent latency of the class times the load of the endpoint.
 
-use super::cluster::Cluster;
-use super::endpoint_table::EndpointKey;
-use super::latency::LatencyEstimator;
-use super::request::PendingRequest;
-use super::token_bucket::TokenBucket;
+mod latency;
+
+use crate::policy::cluster::{Cluster, EndpointKey};
+use crate::policy::request::PendingRequest;
+use crate::policy::token_bucket::TokenBucket;
 use crate::settings::{RequestClass, Settings};
 use crate::time::{LocalInstant, Span};
+pub(crate) use latency::LatencyEstimator;
 
 /// Share of the latency objective that the predicted latency may take, for the lowest priority ...
 const MIN_OBJECTIVE_SHARE: f64 = 0.45;
@@ -33,7 +34,7 @@
 
 /// Whether a request is within the quota of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum QuotaUse {
+pub(crate) enum QuotaUse {
     /// It is, or its tenant has no quota.
     Within,
     /// It is beyond: its priority is lower.
@@ -41,7 +42,7 @@
 }
 
 /// The latencies of the classes and the quotas of the tenants.
-pub(super) struct Admission {
+pub(crate) struct Admission {
     /// Latency of successful attempts, by class.
     latencies: Vec<LatencyEstimator>,
     /// This pooler's part of each quota; none for tenants without a limit.
@@ -52,7 +53,7 @@
 
 impl Admission {
     /// Estimates to begin with, and full quotas.
-    pub(super) fn new(settings: &Settings) -> Admission {
+    pub(crate) fn new(settings: &Settings) -> Admission {
         let poolers = f64::from(settings.pooler_count);
         let initial_latency =
             |class: &RequestClass| LatencyEstimator::new(class.latency_objective * INITIAL_LATENCY_SHARE);
@@ -67,7 +68,7 @@
     }
 
     /// Charges a request to the quota of its tenant.
-    pub(super) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaUse {
+    pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaUse {
         let quota = self.tenant_quotas.get_mut(tenant).and_then(Option::as_mut);
         if quota.is_none_or(|quota| quota.refill(now).withdraw()) {
             QuotaUse::Within
@@ -77,23 +78,23 @@
     }
 
     /// The latency of a class.
-    pub(super) fn latency(&self, class: usize) -> &LatencyEstimator {
+    pub(crate) fn latency(&self, class: usize) -> &LatencyEstimator {
         &self.latencies[class]
     }
 
     /// Takes in the latency of a successful attempt.
-    pub(super) fn record_latency(&mut self, class: usize, latency: Span) {
+    pub(crate) fn record_latency(&mut self, class: usize, latency: Span) {
         self.latencies[class].record(latency, LATENCY_SAMPLE_WEIGHT);
     }
 
     /// Expected latency of one more request of a class at an endpoint.
-    pub(super) fn predicted_latency(&self, to: EndpointKey, class: usize, cluster: &Cluster) -> Span {
+    pub(crate) fn predicted_latency(&self, to: EndpointKey, class: usize, cluster: &Cluster) -> Span {
         let class_mean = self.latencies[class].mean();
         cluster.endpoint(to).load().predict_latency(class_mean, cluster.now())
     }
 
     /// Whether a request can be answered by an endpoint within this share of its latency objective.
-    pub(super) fn admits(
+    pub(crate) fn admits(
         &self,
         request: &PendingRequest,
         to: EndpointKey,
@@ -125,7 +126,7 @@
     }
 
     /// Notes that load is shed. Returns whether that is to be logged.
-    pub(super) fn note_shedding(&mut self, now: LocalInstant) -> bool {
+    pub(crate) fn note_shedding(&mut self, now: LocalInstant) -> bool {
         let is_logged = self.shedding_logged_until.is_none_or(|until| now >= until);
         self.shedding_logged_until = Some(now + SHEDDING_LOG_INTERVAL);
         is_logged
--- a/src/policy/cluster_clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -37,7 +37,7 @@
 /// It is ahead of the pooler's own clock by an offset that is known within bounds. The pooler's own clock
 /// runs evenly, but may have been wrong when it was read at the start.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ClusterClock {
+pub(crate) struct ClusterClock {
     /// The pooler reads the same clock as the endpoints: there is no offset.
     is_shared: bool,
     min_offset: Option<OffsetBound>,
@@ -48,13 +48,13 @@
 
 impl ClusterClock {
     /// A clock of which nothing is known but whether it is the pooler's own.
-    pub(super) const fn new(is_shared: bool) -> ClusterClock {
+    pub(crate) const fn new(is_shared: bool) -> ClusterClock {
         ClusterClock { is_shared, min_offset: None, max_offset: None, contradiction: None }
     }
 
     /// Takes in a time that had been reached on the endpoints' clock when it was received. That the pooler's
     /// clock is behind is believed of primaries only: one wrong time would be taken for the present.
-    pub(super) fn observe_past_time(&mut self, time: ClusterInstant, received_at: LocalInstant) {
+    pub(crate) fn observe_past_time(&mut self, time: ClusterInstant, received_at: LocalInstant) {
         let offset = (time - POSITION_ROUNDING).offset_from(received_at);
         let greatest = self.known_max_offset(received_at).unwrap_or_default();
         if !self.is_shared && offset.as_secs().is_finite() {
@@ -65,7 +65,7 @@
     /// Takes in the log position in the answer of a primary, which stood at the present when it answered.
     /// An answer that contradicts what is known so far, or the pooler's clock at first, counts once a
     /// second agrees.
-    pub(super) fn observe_present_time(
+    pub(crate) fn observe_present_time(
         &mut self,
         time: ClusterInstant,
         sent_at: LocalInstant,
@@ -131,27 +131,27 @@
     }
 
     /// The latest time that it may be on the endpoints' clock at `now`, if there is evidence of it.
-    pub(super) fn latest(&self, now: LocalInstant) -> Option<ClusterInstant> {
+    pub(crate) fn latest(&self, now: LocalInstant) -> Option<ClusterInstant> {
         self.known_max_offset(now).map(|offset| now.to_cluster(offset))
     }
 
     /// The earliest time that it may be on the endpoints' clock at `now`, if there is evidence of it.
-    pub(super) fn earliest(&self, now: LocalInstant) -> Option<ClusterInstant> {
+    pub(crate) fn earliest(&self, now: LocalInstant) -> Option<ClusterInstant> {
         self.known_min_offset(now).map(|offset| now.to_cluster(offset))
     }
 
     /// The time that it probably is on the endpoints' clock at `now`.
-    pub(super) fn likely(&self, now: LocalInstant) -> ClusterInstant {
+    pub(crate) fn likely(&self, now: LocalInstant) -> ClusterInstant {
         now.to_cluster(self.likely_offset(now))
     }
 
     /// A time on the endpoints' clock in terms of the pooler's, as it probably is at `now`.
-    pub(super) fn to_local(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
+    pub(crate) fn to_local(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
         time.to_local(self.likely_offset(now))
     }
 
     /// Whether a log position may have been reached by `now`.
-    pub(super) fn is_credible(&self, position: LogPosition, now: LocalInstant) -> bool {
+    pub(crate) fn is_credible(&self, position: LogPosition, now: LocalInstant) -> bool {
         let greatest = self.known_max_offset(now).unwrap_or_default();
         position.as_secs().is_finite() && position <= now.to_cluster(greatest) + POSITION_ROUNDING
     }
--- a/src/policy/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -3,26 +3,26 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
 
-use super::endpoint::EndpointState;
-use super::group::Group;
 use crate::interface::{Endpoint, EndpointId, EndpointStatus, UpdateKind};
+use crate::policy::cluster::Group;
+use crate::policy::endpoint::EndpointState;
 use crate::time::LocalInstant;
 
 /// The place of an endpoint in the [`EndpointTable`]. Places of forgotten endpoints are used again.
-pub(super) type EndpointKey = usize;
+pub(crate) type EndpointKey = usize;
 
 /// The endpoints that an update of the endpoint list has started.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(super) struct StartedEndpoints {
+pub(crate) struct StartedEndpoints {
     /// Endpoints that were not known before.
-    pub(super) added: Vec<EndpointKey>,
+    pub(crate) added: Vec<EndpointKey>,
     /// Known endpoints that have restarted.
-    pub(super) restarted: Vec<EndpointKey>,
+    pub(crate) restarted: Vec<EndpointKey>,
 }
 
 /// Endpoints by key and by identifier, and their groups.
 #[derive(Default)]
-pub(super) struct EndpointTable {
+pub(crate) struct EndpointTable {
     groups: BTreeMap<u32, Group>,
     slots: Vec<EndpointState>,
     free: Vec<EndpointKey>,
@@ -31,48 +31,48 @@
 
 impl EndpointTable {
     /// How many slots there are, those of forgotten endpoints included: every key is below this.
-    pub(super) fn slots(&self) -> usize {
+    pub(crate) fn slots(&self) -> usize {
         self.slots.len()
     }
 
     /// The key of a known endpoint.
-    pub(super) fn key(&self, id: &EndpointId) -> Option<EndpointKey> {
+    pub(crate) fn key(&self, id: &EndpointId) -> Option<EndpointKey> {
         self.by_id.get(id).copied()
     }
 
     /// The numbers of all groups, in ascending order.
-    pub(super) fn group_ids(&self) -> Vec<u32> {
+    pub(crate) fn group_ids(&self) -> Vec<u32> {
         self.groups.keys().copied().collect()
     }
 
     /// How many groups there are.
-    pub(super) fn group_count(&self) -> usize {
+    pub(crate) fn group_count(&self) -> usize {
         self.groups.len()
     }
 
     /// A group, if one of this number is known.
-    pub(super) fn group(&self, group: u32) -> Option<&Group> {
+    pub(crate) fn group(&self, group: u32) -> Option<&Group> {
         self.groups.get(&group)
     }
 
     /// A group, to be changed.
-    pub(super) fn group_mut(&mut self, group: u32) -> Option<&mut Group> {
+    pub(crate) fn group_mut(&mut self, group: u32) -> Option<&mut Group> {
         self.groups.get_mut(&group)
     }
 
     /// The primary of a group, if one is known.
-    pub(super) fn primary(&self, group: u32) -> Option<EndpointKey> {
+    pub(crate) fn primary(&self, group: u32) -> Option<EndpointKey> {
         self.group(group)?.primary()
     }
 
     /// Forgets groups without endpoints and requests: lists may name new ones again and again.
-    pub(super) fn forget_empty_groups(&mut self) {
+    pub(crate) fn forget_empty_groups(&mut self) {
         self.groups.retain(|_, group| !group.is_empty());
     }
 
     /// Applies an update of the endpoint list. What a complete list does not name is removed. Returns the
     /// endpoints that were added or have restarted.
-    pub(super) fn apply(
+    pub(crate) fn apply(
         &mut self,
         kind: UpdateKind,
         entries: &[Endpoint],
@@ -129,7 +129,7 @@
     }
 
     /// Forgets those endpoints of a group that were removed, and neither listed nor used since this time.
-    pub(super) fn forget_removed(&mut self, group: u32, horizon: LocalInstant) {
+    pub(crate) fn forget_removed(&mut self, group: u32, horizon: LocalInstant) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         let (slots, free, by_id) = (&self.slots, &mut self.free, &mut self.by_id);
         group.retain_members(|&endpoint| {
--- a/src/policy/cluster.rs
+++ b/src/policy/cluster/mod.rs
@@ -1,18 +1,22 @@
 //! What a pooler knows of the cluster that it serves: the settings, the present time and the endpoints.
 
-use super::cluster_clock::ClusterClock;
-use super::endpoint::{EndpointState, ReportAge};
-use super::endpoint_table::{EndpointKey, EndpointTable, StartedEndpoints};
-use super::group::Group;
+mod clock;
+mod endpoint_table;
+mod group;
+
 use crate::interface::{AttemptResult, Endpoint, EndpointStatus, LoadReport, Role, UpdateKind};
+use crate::policy::endpoint::{EndpointState, ReportAge};
 use crate::settings::{RequestClass, Settings};
 use crate::time::{ClusterInstant, LocalInstant, Span};
+pub(crate) use clock::ClusterClock;
+pub(crate) use endpoint_table::{EndpointKey, EndpointTable, StartedEndpoints};
+pub(crate) use group::Group;
 
 /// Upper limit of [`Cluster::shortest_staleness`], for settings without a bounded class.
 const MAX_SHORTEST_STALENESS: Span = Span::from_secs(1.0);
 
 /// The cluster as it is known at present.
-pub(super) struct Cluster {
+pub(crate) struct Cluster {
     settings: Settings,
     now: LocalInstant,
     clock: ClusterClock,
@@ -22,7 +26,7 @@
 
 impl Cluster {
     /// A cluster of which nothing is known yet.
-    pub(super) fn new(settings: Settings) -> Cluster {
+    pub(crate) fn new(settings: Settings) -> Cluster {
         let staleness_bounds = settings.classes.iter().filter_map(RequestClass::staleness_bound);
         Cluster {
             shortest_staleness: staleness_bounds.fold(MAX_SHORTEST_STALENESS, Span::min),
@@ -34,12 +38,12 @@
     }
 
     /// Moves the present on; it never goes back.
-    pub(super) fn advance_to(&mut self, now: LocalInstant) {
+    pub(crate) fn advance_to(&mut self, now: LocalInstant) {
         self.now = self.now.max(now);
     }
 
     /// Applies an update of the endpoint list. Returns the endpoints that were added or have restarted.
-    pub(super) fn apply(&mut self, kind: UpdateKind, entries: &[Endpoint]) -> StartedEndpoints {
+    pub(crate) fn apply(&mut self, kind: UpdateKind, entries: &[Endpoint]) -> StartedEndpoints {
         for started_at in entries.iter().filter_map(|entry| entry.started_at) {
             self.clock.observe_past_time(started_at, self.now);
         }
@@ -48,7 +52,7 @@
 
     /// Takes in what an answer shows of its endpoint and of the endpoints' clock. `sent_at` is when the
     /// attempt was sent, if it is known.
-    pub(super) fn observe_answer(
+    pub(crate) fn observe_answer(
         &mut self,
         endpoint: EndpointKey,
         result: &AttemptResult,
@@ -65,7 +69,7 @@
     }
 
     /// Takes in what an endpoint has reported about itself some time ago.
-    pub(super) fn observe_report(&mut self, endpoint: EndpointKey, report: &LoadReport) {
+    pub(crate) fn observe_report(&mut self, endpoint: EndpointKey, report: &LoadReport) {
         if let Some(position) = report.log_position {
             self.clock.observe_past_time(position, self.now);
         }
@@ -73,87 +77,87 @@
     }
 
     /// The settings.
-    pub(super) fn settings(&self) -> &Settings {
+    pub(crate) fn settings(&self) -> &Settings {
         &self.settings
     }
 
     /// The settings of a request class.
-    pub(super) fn class(&self, class: usize) -> &RequestClass {
+    pub(crate) fn class(&self, class: usize) -> &RequestClass {
         &self.settings.classes[class]
     }
 
     /// The shortest staleness bound of any class.
-    pub(super) fn shortest_staleness(&self) -> Span {
+    pub(crate) fn shortest_staleness(&self) -> Span {
         self.shortest_staleness
     }
 
     /// The present on the pooler's clock.
-    pub(super) fn now(&self) -> LocalInstant {
+    pub(crate) fn now(&self) -> LocalInstant {
         self.now
     }
 
     /// The clock of the endpoints.
-    pub(super) fn clock(&self) -> &ClusterClock {
+    pub(crate) fn clock(&self) -> &ClusterClock {
         &self.clock
     }
 
     /// The present as it probably is on the clock of the endpoints.
-    pub(super) fn likely_now(&self) -> ClusterInstant {
+    pub(crate) fn likely_now(&self) -> ClusterInstant {
         self.clock.likely(self.now)
     }
 
     /// All endpoints and groups.
-    pub(super) fn endpoints(&self) -> &EndpointTable {
+    pub(crate) fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
     /// All endpoints and groups, to be changed.
-    pub(super) fn endpoints_mut(&mut self) -> &mut EndpointTable {
+    pub(crate) fn endpoints_mut(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
 
     /// One endpoint.
-    pub(super) fn endpoint(&self, key: EndpointKey) -> &EndpointState {
+    pub(crate) fn endpoint(&self, key: EndpointKey) -> &EndpointState {
         &self.endpoints[key]
     }
 
     /// One endpoint, to be changed.
-    pub(super) fn endpoint_mut(&mut self, key: EndpointKey) -> &mut EndpointState {
+    pub(crate) fn endpoint_mut(&mut self, key: EndpointKey) -> &mut EndpointState {
         &mut self.endpoints[key]
     }
 
     /// A group, if one of this number is known.
-    pub(super) fn group(&self, group: u32) -> Option<&Group> {
+    pub(crate) fn group(&self, group: u32) -> Option<&Group> {
         self.endpoints.group(group)
     }
 
     /// Requests that this pooler has in flight at an endpoint, abandoned ones included.
-    pub(super) fn load(&self, endpoint: EndpointKey) -> u32 {
+    pub(crate) fn load(&self, endpoint: EndpointKey) -> u32 {
         self.endpoints[endpoint].load().total(self.now)
     }
 
     /// Whether an endpoint is not ejected as an outlier.
-    pub(super) fn is_healthy(&self, endpoint: EndpointKey) -> bool {
+    pub(crate) fn is_healthy(&self, endpoint: EndpointKey) -> bool {
         !self.endpoints[endpoint].health().is_ejected()
     }
 
     /// Whether an endpoint is ejected and may have the one request that tries it.
-    pub(super) fn is_trial_due(&self, endpoint: EndpointKey) -> bool {
+    pub(crate) fn is_trial_due(&self, endpoint: EndpointKey) -> bool {
         self.endpoints[endpoint].health().is_trial_due(self.now)
     }
 
     /// Whether an endpoint is in the pooler's own zone.
-    pub(super) fn is_local(&self, endpoint: EndpointKey) -> bool {
+    pub(crate) fn is_local(&self, endpoint: EndpointKey) -> bool {
         self.endpoints[endpoint].zone() == self.settings.zone
     }
 
     /// Whether an endpoint is known as the primary of its group.
-    pub(super) fn is_primary(&self, endpoint: EndpointKey) -> bool {
+    pub(crate) fn is_primary(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.primary(self.endpoints[endpoint].group()) == Some(endpoint)
     }
 
     /// Whether new requests may be sent to an endpoint. A drain is binding as soon as it is announced.
-    pub(super) fn accepts_requests(&self, endpoint: EndpointKey) -> bool {
+    pub(crate) fn accepts_requests(&self, endpoint: EndpointKey) -> bool {
         let endpoint = &self.endpoints[endpoint];
         match endpoint.status() {
             EndpointStatus::Serving => true,
@@ -163,7 +167,7 @@
     }
 
     /// The endpoints of a group to which new requests may be sent.
-    pub(super) fn usable_endpoints<'a>(&'a self, group: &'a Group) -> impl Iterator<Item = EndpointKey> + 'a {
+    pub(crate) fn usable_endpoints<'a>(&'a self, group: &'a Group) -> impl Iterator<Item = EndpointKey> + 'a {
         group.members().iter().copied().filter(|endpoint| self.accepts_requests(*endpoint))
     }
 }
--- a/src/policy/connection_limit.rs
+++ b/src/policy/connection_limit.rs
@@ -1,6 +1,6 @@
 //! Connections of the whole fleet at an endpoint: where it refuses new ones, idle ones are closed.
 
-use super::cluster::Cluster;
+use crate::policy::cluster::Cluster;
 use crate::time::LocalInstant;
 
 /// Fewer poolers than this cannot exhaust an endpoint's connections with idle ones.
@@ -8,21 +8,21 @@
 
 /// Whether endpoints are short of connections.
 #[derive(Default)]
-pub(super) struct ConnectionLimit {
+pub(crate) struct ConnectionLimit {
     /// Until then endpoints are taken to have no connections to spare.
     reached_until: Option<LocalInstant>,
 }
 
 impl ConnectionLimit {
     /// Notes that an endpoint has refused a connection.
-    pub(super) fn record_refusal(&mut self, cluster: &Cluster) {
+    pub(crate) fn record_refusal(&mut self, cluster: &Cluster) {
         if cluster.settings().pooler_count > MIN_POOLERS {
             self.reached_until = Some(cluster.now() + cluster.settings().max_watch_gap);
         }
     }
 
     /// Whether idle connections are to be closed.
-    pub(super) fn is_reached(&self, now: LocalInstant) -> bool {
+    pub(crate) fn is_reached(&self, now: LocalInstant) -> bool {
         self.reached_until.is_some_and(|until| now < until)
     }
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,16 +1,15 @@
 //! The way of a request through the policy: receipt, dispatch, attempts, and its end.
 
-use super::endpoint_table::EndpointKey;
-use super::evidence::Observation;
-use super::give_up::{self, GiveUpReason};
-use super::overdue::{self, OverdueAttempt};
-use super::primary;
-use super::read_routing::ReadRouter;
-use super::request::{Attempt, PendingRequest, RequestTerms};
-use super::request_table::{EndedAttempt, RequestKey};
-use super::retry::{self, Replacement};
-use super::{NoRoute, Policy, Route};
 use crate::interface::{Action, AttemptResult, Outcome, Request, RequestId, StateChange};
+use crate::policy::cluster::EndpointKey;
+use crate::policy::endpoint::evidence::Observation;
+use crate::policy::give_up::{self, GiveUpReason};
+use crate::policy::overdue::{self, OverdueAttempt};
+use crate::policy::primary;
+use crate::policy::read_routing::ReadRouter;
+use crate::policy::request::{Attempt, EndedAttempt, PendingRequest, RequestKey, RequestTerms};
+use crate::policy::retry::{self, Replacement};
+use crate::policy::{NoRoute, Policy, Route};
 use crate::time::Span;
 
 /// Share of its time that a request may wait unsent, which leaves its client time to retry elsewhere.
@@ -20,7 +19,7 @@
 
 impl Policy {
     /// Takes in a request and sends it, queues it or gives it up.
-    pub(super) fn request_received(&mut self, request: Request) {
+    pub(crate) fn request_received(&mut self, request: Request) {
         if request.class >= self.cluster.settings().classes.len() {
             self.actions.push(Action::Reject { id: request.id, retry_after: None });
             return;
@@ -68,7 +67,7 @@
     }
 
     /// Ends a request whose queue time or deadline is over. Each request has a timer for both.
-    pub(super) fn request_timer_expired(&mut self, key: RequestKey) {
+    pub(crate) fn request_timer_expired(&mut self, key: RequestKey) {
         let Some(request) = self.requests.unfinished_mut(key) else { return };
         let final_timer_time = FINAL_TIMER_TICKS * self.cluster.settings().tick;
         if self.cluster.now() + final_timer_time >= request.deadline() {
@@ -79,7 +78,7 @@
     }
 
     /// Gives up a request for which the process has no more time.
-    pub(super) fn request_expired(&mut self, id: &RequestId) {
+    pub(crate) fn request_expired(&mut self, id: &RequestId) {
         let Some(key) = self.requests.key(id) else { return };
         if self.requests.unfinished_mut(key).is_some() {
             self.give_up(key, GiveUpReason::Shutdown);
@@ -87,7 +86,7 @@
     }
 
     /// Sends a request that has no attempt in flight, queues it, or gives it up.
-    pub(super) fn dispatch(&mut self, key: RequestKey) {
+    pub(crate) fn dispatch(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get(key).filter(|request| !request.is_in_flight()) else { return };
         if let Err(reason) = retry::check_dispatch(request, &self.cluster) {
             return self.give_up(key, reason);
@@ -121,7 +120,7 @@
     }
 
     /// Starts an attempt if the request may have one at this endpoint. All attempts are started here.
-    pub(super) fn send(&mut self, key: RequestKey, to: EndpointKey) {
+    pub(crate) fn send(&mut self, key: RequestKey, to: EndpointKey) {
         let now = self.cluster.now();
         let endpoint = self.cluster.endpoint(to);
         let Some(request) = self.requests.get_mut(key) else { return };
@@ -138,7 +137,7 @@
     }
 
     /// Gives a request its final answer: a rejection where a retry by the client is harmless, else a failure.
-    pub(super) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
+    pub(crate) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
         if reason.is_load_shedding() && self.admission.note_shedding(self.cluster.now()) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
         }
@@ -148,7 +147,7 @@
     }
 
     /// Takes in the end of an attempt, and retries its request or ends it.
-    pub(super) fn attempt_finished(&mut self, result: &AttemptResult) {
+    pub(crate) fn attempt_finished(&mut self, result: &AttemptResult) {
         let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
         let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
         self.cluster.observe_answer(endpoint, result, sent_at);
@@ -215,7 +214,7 @@
     }
 
     /// Counts the silence of endpoints as failures, and replaces attempts that take too long.
-    pub(super) fn handle_overdue_attempts(&mut self) {
+    pub(crate) fn handle_overdue_attempts(&mut self) {
         for overdue in overdue::overdue_attempts(&self.requests, &self.admission, &self.cluster) {
             if overdue.delay.is_endpoint_silent {
                 self.record_silence(overdue.endpoint, overdue.late_attempts);
--- a/src/policy/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -18,17 +18,17 @@
 //! [`EndpointState::apply_evidence`] takes it in. A restart resets the health of the endpoint, see
 //! [`OutlierDetector::reset`](super::outlier_detection::OutlierDetector::reset).
 
-use super::endpoint::EndpointState;
-use super::freshness;
-use super::latency::LatencyEstimator;
-use super::outlier_detection::EJECTION_SCORE;
-use super::request::Attempt;
 use crate::interface::{AttemptResult, Outcome};
+use crate::policy::admission::LatencyEstimator;
+use crate::policy::endpoint::outlier_detection::EJECTION_SCORE;
+use crate::policy::endpoint::EndpointState;
+use crate::policy::freshness;
+use crate::policy::request::Attempt;
 use crate::settings::Settings;
 use crate::time::{ClusterInstant, LocalInstant, Span};
 
 /// Weight of a plain failure.
-pub(super) const FAILURE: f64 = 1.0;
+pub(crate) const FAILURE: f64 = 1.0;
 /// Weight of a failure that may be due to a single connection: a second one soon after ejects.
 const CONNECTION_LOST: f64 = 0.55 * EJECTION_SCORE;
 /// Weight of a connection that broke under a request. Small: if the process has died, the next connections
@@ -37,14 +37,14 @@
 /// A connection that fails within this share of the connect timeout was refused.
 const REFUSED_WITHIN: f64 = 0.5;
 /// An attempt is late at this many deviations above the mean latency: a shorter timeout shows nothing.
-pub(super) const LATE_DEVIATIONS: f64 = 2.0;
+pub(crate) const LATE_DEVIATIONS: f64 = 2.0;
 /// A primary cannot be replaced: it is ejected for silence only once so many attempts are late, since a
 /// single connection may have failed.
 const LATE_ATTEMPTS_TO_EJECT_PRIMARY: u32 = 2;
 
 /// What an outcome shows of the health of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum HealthEvidence {
+pub(crate) enum HealthEvidence {
     /// Nothing.
     Unknown,
     /// It served an attempt that was sent at this time.
@@ -66,49 +66,49 @@
 
 /// The latency of an attempt beside the mean of its class.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct LatencySample {
+pub(crate) struct LatencySample {
     /// The latency of the attempt.
-    pub(super) latency: Span,
+    pub(crate) latency: Span,
     /// The mean latency of its class.
-    pub(super) class_mean: Span,
+    pub(crate) class_mean: Span,
 }
 
 /// Everything that the end of an attempt shows of its endpoint.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Evidence {
+pub(crate) struct Evidence {
     /// What it shows of its health.
-    pub(super) health: HealthEvidence,
+    pub(crate) health: HealthEvidence,
     /// Until when the attempt counts as load: it may still be executed, and rejecting requests must not
     /// make an endpoint look idle.
-    pub(super) counts_as_load_until: Option<LocalInstant>,
+    pub(crate) counts_as_load_until: Option<LocalInstant>,
     /// What it shows of its latency.
-    pub(super) latency: Option<LatencySample>,
+    pub(crate) latency: Option<LatencySample>,
     /// Until when it is taken to be behind.
-    pub(super) stale_until: Option<LocalInstant>,
+    pub(crate) stale_until: Option<LocalInstant>,
 }
 
 /// The circumstances in which an attempt ended.
 #[derive(Clone, Copy)]
-pub(super) struct Observation<'a> {
+pub(crate) struct Observation<'a> {
     /// The attempt, as it was while in flight.
-    pub(super) attempt: &'a Attempt,
+    pub(crate) attempt: &'a Attempt,
     /// How it ended.
-    pub(super) result: &'a AttemptResult,
+    pub(crate) result: &'a AttemptResult,
     /// Its endpoint.
-    pub(super) endpoint: &'a EndpointState,
+    pub(crate) endpoint: &'a EndpointState,
     /// The latency of its class.
-    pub(super) class_latency: &'a LatencyEstimator,
+    pub(crate) class_latency: &'a LatencyEstimator,
     /// The settings.
-    pub(super) settings: &'a Settings,
+    pub(crate) settings: &'a Settings,
     /// The present on the pooler's clock.
-    pub(super) now: LocalInstant,
+    pub(crate) now: LocalInstant,
     /// The present as it probably is on the clock of the database hosts.
-    pub(super) cluster_now: ClusterInstant,
+    pub(crate) cluster_now: ClusterInstant,
 }
 
 impl Observation<'_> {
     /// What the end of the attempt shows: the table of this module.
-    pub(super) fn evidence(&self) -> Evidence {
+    pub(crate) fn evidence(&self) -> Evidence {
         let nothing = Evidence {
             health: HealthEvidence::Unknown,
             counts_as_load_until: None,
@@ -138,7 +138,7 @@
     }
 
     /// Whether a connection was refused at once, rather than not answered in time.
-    pub(super) fn is_connection_refused(&self) -> bool {
+    pub(crate) fn is_connection_refused(&self) -> bool {
         let limit = self.settings.connect_timeout * REFUSED_WITHIN;
         self.result.outcome == Outcome::ConnectFailed && self.result.elapsed < limit
     }
@@ -185,7 +185,7 @@
 }
 
 /// Weight of the failure that an endpoint shows by its silence, while so many attempts are late.
-pub(super) fn weight_of_silence(is_primary: bool, late_attempts: u32) -> f64 {
+pub(crate) fn weight_of_silence(is_primary: bool, late_attempts: u32) -> f64 {
     if is_primary && late_attempts < LATE_ATTEMPTS_TO_EJECT_PRIMARY {
         CONNECTION_LOST
     } else {
--- a/src/policy/endpoint.rs
+++ b/src/policy/endpoint/mod.rs
@@ -1,18 +1,20 @@
 //! What is known of one endpoint: its entry in the endpoint list, its role and log position, its health and
 //! its load.
 
+pub(crate) mod evidence;
 mod load;
+pub(crate) mod outlier_detection;
 
 use fastrand::Rng;
 
-use super::cluster_clock::ClusterClock;
-use super::evidence::{Evidence, HealthEvidence};
-use super::outlier_detection::OutlierDetector;
 use crate::interface::{
     Endpoint, EndpointId, EndpointStatus, LoadReport, Outcome, Role, StateChange, UpdateKind,
 };
+use crate::policy::cluster::ClusterClock;
 use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
-pub(super) use load::EndpointLoad;
+use evidence::{Evidence, HealthEvidence};
+pub(crate) use load::EndpointLoad;
+use outlier_detection::OutlierDetector;
 
 /// A start of an endpoint, as the endpoint list tells it.
 #[derive(Clone, Copy)]
@@ -39,7 +41,7 @@
 
 /// How old a report of an endpoint about itself is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ReportAge {
+pub(crate) enum ReportAge {
     /// It came with an answer and speaks of the present.
     Current,
     /// It was written some time ago, at its log position.
@@ -48,7 +50,7 @@
 
 /// Everything that is known of one endpoint.
 #[derive(Default)]
-pub(super) struct EndpointState {
+pub(crate) struct EndpointState {
     id: EndpointId,
     zone: u32,
     group: u32,
@@ -74,13 +76,13 @@
 
 impl EndpointState {
     /// An endpoint of which nothing is known but its place.
-    pub(super) fn new(id: EndpointId, zone: u32, group: u32) -> EndpointState {
+    pub(crate) fn new(id: EndpointId, zone: u32, group: u32) -> EndpointState {
         EndpointState { id, zone, group, ..EndpointState::default() }
     }
 
     /// Takes over an entry of the endpoint list. Returns whether the endpoint has restarted: its health
     /// begins anew then.
-    pub(super) fn apply(&mut self, kind: UpdateKind, entry: &Endpoint, now: LocalInstant) -> bool {
+    pub(crate) fn apply(&mut self, kind: UpdateKind, entry: &Endpoint, now: LocalInstant) -> bool {
         self.zone = entry.zone;
         self.apply_role(kind, entry.role, now);
         self.apply_status(entry.status);
@@ -115,23 +117,23 @@
     }
 
     /// Notes that a complete list does not name the endpoint.
-    pub(super) fn mark_removed(&mut self) {
+    pub(crate) fn mark_removed(&mut self) {
         self.status = EndpointStatus::Removed;
     }
 
     /// Notes that the list in force names the endpoint.
-    pub(super) fn mark_listed(&mut self, now: LocalInstant) {
+    pub(crate) fn mark_listed(&mut self, now: LocalInstant) {
         self.last_listed_at = now;
     }
 
     /// Moves the endpoint to a group. Returns the group that it was in.
-    pub(super) fn move_to_group(&mut self, group: u32) -> u32 {
+    pub(crate) fn move_to_group(&mut self, group: u32) -> u32 {
         std::mem::replace(&mut self.group, group)
     }
 
     /// Takes in a reported log position, which never goes back, and a reported role. A role in an answer is
     /// as of now; one in a load report, whose age is unknown, is as of its log position.
-    pub(super) fn observe(
+    pub(crate) fn observe(
         &mut self,
         report: &LoadReport,
         age: ReportAge,
@@ -155,7 +157,7 @@
     }
 
     /// The newest claim that it is the primary, by itself or by a list whose roles are of that age.
-    pub(super) fn primary_claim(&self, list_age: Span) -> Option<PrimaryClaim> {
+    pub(crate) fn primary_claim(&self, list_age: Span) -> Option<PrimaryClaim> {
         let listed = self.listed_primary_since.map(|since| since - list_age);
         let own = self.role.filter(|claim| claim.role == Role::Primary);
         let denied_at = self.role.filter(|claim| claim.role == Role::Replica).map(|claim| claim.at);
@@ -169,13 +171,13 @@
     }
 
     /// Notes that an attempt was sent.
-    pub(super) fn attempt_sent(&mut self, now: LocalInstant) {
+    pub(crate) fn attempt_sent(&mut self, now: LocalInstant) {
         self.health.request_sent();
         self.load.attempt_sent(now);
     }
 
     /// Notes that an attempt ended in this way.
-    pub(super) fn attempt_ended(&mut self, outcome: Outcome, now: LocalInstant) {
+    pub(crate) fn attempt_ended(&mut self, outcome: Outcome, now: LocalInstant) {
         self.health.request_ended();
         self.load.attempt_ended(now);
         if outcome.is_response() {
@@ -184,7 +186,7 @@
     }
 
     /// Takes in what an outcome has shown. Returns the change of state that follows, if any.
-    pub(super) fn apply_evidence(
+    pub(crate) fn apply_evidence(
         &mut self,
         evidence: &Evidence,
         now: LocalInstant,
@@ -222,7 +224,7 @@
     }
 
     /// Counts a failure of this weight. Returns the ejection that follows, if any.
-    pub(super) fn record_failure(
+    pub(crate) fn record_failure(
         &mut self,
         weight: f64,
         now: LocalInstant,
@@ -234,57 +236,57 @@
     }
 
     /// Its identifier.
-    pub(super) fn id(&self) -> &EndpointId {
+    pub(crate) fn id(&self) -> &EndpointId {
         &self.id
     }
 
     /// The zone that it is in.
-    pub(super) fn zone(&self) -> u32 {
+    pub(crate) fn zone(&self) -> u32 {
         self.zone
     }
 
     /// The group that it belongs to.
-    pub(super) fn group(&self) -> u32 {
+    pub(crate) fn group(&self) -> u32 {
         self.group
     }
 
     /// Its status in the endpoint list.
-    pub(super) fn status(&self) -> EndpointStatus {
+    pub(crate) fn status(&self) -> EndpointStatus {
         self.status
     }
 
     /// Whether the list has announced that it drains.
-    pub(super) fn is_drain_announced(&self) -> bool {
+    pub(crate) fn is_drain_announced(&self) -> bool {
         self.drain_announced
     }
 
     /// Its outlier detector.
-    pub(super) fn health(&self) -> &OutlierDetector {
+    pub(crate) fn health(&self) -> &OutlierDetector {
         &self.health
     }
 
     /// Its load.
-    pub(super) fn load(&self) -> &EndpointLoad {
+    pub(crate) fn load(&self) -> &EndpointLoad {
         &self.load
     }
 
     /// The highest log position that it has reported.
-    pub(super) fn log_position(&self) -> Option<LogPosition> {
+    pub(crate) fn log_position(&self) -> Option<LogPosition> {
         self.reported.map(|reported| reported.position)
     }
 
     /// When it reported its log position.
-    pub(super) fn log_position_reported_at(&self) -> Option<LocalInstant> {
+    pub(crate) fn log_position_reported_at(&self) -> Option<LocalInstant> {
         self.reported.map(|reported| reported.reported_at)
     }
 
     /// Whether it is taken to be behind, since it has rejected a read.
-    pub(super) fn is_known_stale(&self, now: LocalInstant) -> bool {
+    pub(crate) fn is_known_stale(&self, now: LocalInstant) -> bool {
         self.stale_until.is_some_and(|until| now < until)
     }
 
     /// For how long it has been up at least, if it was started lately enough for the list to tell.
-    pub(super) fn min_uptime(&self, clock: &ClusterClock, now: LocalInstant) -> Option<Span> {
+    pub(crate) fn min_uptime(&self, clock: &ClusterClock, now: LocalInstant) -> Option<Span> {
         let start = self.start?;
         let since_listed = now - start.listed_at;
         let by_clock = clock.earliest(now).map(|earliest| earliest - start.started_at);
@@ -292,28 +294,28 @@
     }
 
     /// How far it was behind when it reported its log position.
-    pub(super) fn lag(&self, clock: &ClusterClock) -> Option<Span> {
+    pub(crate) fn lag(&self, clock: &ClusterClock) -> Option<Span> {
         let reported = self.reported?;
         Some(clock.likely(reported.reported_at) - reported.position)
     }
 
     /// When it last answered.
-    pub(super) fn last_response_at(&self) -> Option<LocalInstant> {
+    pub(crate) fn last_response_at(&self) -> Option<LocalInstant> {
         self.last_response_at
     }
 
     /// Whether it has answered nothing since this time.
-    pub(super) fn is_silent_since(&self, time: LocalInstant) -> bool {
+    pub(crate) fn is_silent_since(&self, time: LocalInstant) -> bool {
         self.last_response_at.is_none_or(|answered_at| answered_at < time)
     }
 
     /// When the latest of the attempts was sent that it has served.
-    pub(super) fn latest_served_sent_at(&self) -> Option<LocalInstant> {
+    pub(crate) fn latest_served_sent_at(&self) -> Option<LocalInstant> {
         self.latest_served_sent_at
     }
 
     /// Whether it was removed, and neither listed nor used since this time.
-    pub(super) fn is_removed_since(&self, horizon: LocalInstant) -> bool {
+    pub(crate) fn is_removed_since(&self, horizon: LocalInstant) -> bool {
         let last_used = self.load.last_sent_at().max(Some(self.last_listed_at));
         let is_idle = self.load.in_flight() == 0 && last_used < Some(horizon);
         self.status == EndpointStatus::Removed && is_idle
@@ -322,7 +324,7 @@
 
 /// A claim that an endpoint is the primary; the newest one is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct PrimaryClaim {
+pub(crate) struct PrimaryClaim {
     /// The time that it speaks of; unknown for a claim that is older than any other.
     at: Option<LocalInstant>,
 }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/endpoint/outlier_detection.rs
@@ -6,11 +6,11 @@
 
 use fastrand::Rng;
 
-use super::random::Jitter;
+use crate::policy::random::Jitter;
 use crate::time::{LocalInstant, Span};
 
 /// Failure score at which an endpoint is ejected: two plain failures or one dead process.
-pub(super) const EJECTION_SCORE: f64 = 2.0;
+pub(crate) const EJECTION_SCORE: f64 = 2.0;
 /// Half-life of the failure score, in multiples of the connect timeout.
 const SCORE_HALF_LIFE: f64 = 8.0;
 /// Share of the failure score that one success leaves.
@@ -18,13 +18,13 @@
 /// Duration of the first ejection, in multiples of the connect timeout; doubles with each relapse ...
 const FIRST_EJECTION: f64 = 2.0;
 /// ... up to this multiple, so that a recovered endpoint is reinstated within a few seconds.
-pub(super) const MAX_EJECTION: f64 = 12.0;
+pub(crate) const MAX_EJECTION: f64 = 12.0;
 /// Relapses beyond this many do not prolong the ejection any more.
 const MAX_COUNTED_EJECTIONS: i32 = 5;
 
 /// The evidence for and against ejecting one endpoint.
 #[derive(Clone, Debug, Default)]
-pub(super) struct OutlierDetector {
+pub(crate) struct OutlierDetector {
     /// Weight of the failures so far; decays with time.
     failure_score: f64,
     score_updated_at: LocalInstant,
@@ -40,7 +40,7 @@
 
 impl OutlierDetector {
     /// Adds a failure to the score. Returns whether it ejects the endpoint.
-    pub(super) fn record_failure(
+    pub(crate) fn record_failure(
         &mut self,
         weight: f64,
         now: LocalInstant,
@@ -71,7 +71,7 @@
     }
 
     /// Notes that a request was served. Returns whether that reinstates the endpoint.
-    pub(super) fn record_success(&mut self, now: LocalInstant) -> bool {
+    pub(crate) fn record_success(&mut self, now: LocalInstant) -> bool {
         self.failure_score *= SCORE_LEFT_BY_SUCCESS;
         let is_reinstated = self.ejected_until.take().is_some();
         if is_reinstated {
@@ -82,49 +82,49 @@
     }
 
     /// Notes that a connection to the endpoint failed.
-    pub(super) fn record_connect_failure(&mut self, now: LocalInstant) {
+    pub(crate) fn record_connect_failure(&mut self, now: LocalInstant) {
         self.connect_failed_at = Some(now);
     }
 
     /// Notes that a request was sent: to an ejected endpoint as a trial.
-    pub(super) fn request_sent(&mut self) {
+    pub(crate) fn request_sent(&mut self) {
         self.trial_in_flight |= self.is_ejected();
     }
 
     /// Notes that a request has ended.
-    pub(super) fn request_ended(&mut self) {
+    pub(crate) fn request_ended(&mut self) {
         self.trial_in_flight = false;
     }
 
     /// Begins anew, since the endpoint has restarted. The count of ejections stays: a process that fails and
     /// restarts again and again is an outlier too.
-    pub(super) fn reset(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.failure_score = 0.0;
         self.ejected_until = None;
     }
 
     /// Whether the endpoint is ejected.
-    pub(super) fn is_ejected(&self) -> bool {
+    pub(crate) fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
     /// Until when the endpoint is ejected, if it is.
-    pub(super) fn ejected_until(&self) -> Option<LocalInstant> {
+    pub(crate) fn ejected_until(&self) -> Option<LocalInstant> {
         self.ejected_until
     }
 
     /// Whether the request that tries an ejected endpoint is in flight.
-    pub(super) fn is_trial_in_flight(&self) -> bool {
+    pub(crate) fn is_trial_in_flight(&self) -> bool {
         self.trial_in_flight
     }
 
     /// Whether the endpoint is ejected and may have the one request that tries it.
-    pub(super) fn is_trial_due(&self, now: LocalInstant) -> bool {
+    pub(crate) fn is_trial_due(&self, now: LocalInstant) -> bool {
         self.ejected_until.is_some_and(|until| now >= until) && !self.trial_in_flight
     }
 
     /// When a connection to the endpoint last failed.
-    pub(super) fn connect_failed_at(&self) -> Option<LocalInstant> {
+    pub(crate) fn connect_failed_at(&self) -> Option<LocalInstant> {
         self.connect_failed_at
     }
 }
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -1,16 +1,18 @@
 //! Failover: the election of a group's primary, the search for a lost one, and the requests that wait for it.
 
-use super::endpoint_table::EndpointKey;
-use super::outlier_detection::MAX_EJECTION;
-use super::{evidence, primary, primary_search, Policy};
 use crate::interface::{Action, EndpointId, LoadReport, Outcome, StateChange};
+use crate::policy::cluster::EndpointKey;
+use crate::policy::endpoint::evidence;
+use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
+use crate::policy::primary::{self, search};
+use crate::policy::Policy;
 
 /// A group counts as in use for this time after a request for it, in multiples of the connect timeout.
 const GROUP_IN_USE_FOR: f64 = MAX_EJECTION;
 
 impl Policy {
     /// Makes the endpoint with the newest claim the group's primary, and dispatches queued requests.
-    pub(super) fn elect_primary(&mut self, group_id: u32) {
+    pub(crate) fn elect_primary(&mut self, group_id: u32) {
         let Some(group) = self.cluster.group(group_id) else { return };
         let primary = primary::elect(group, &self.cluster);
         if primary != group.primary() {
@@ -45,7 +47,7 @@
     }
 
     /// Continues the search for a group's primary, and refreshes the log positions of its replicas.
-    pub(super) fn search_primary(&mut self, group_id: u32) {
+    pub(crate) fn search_primary(&mut self, group_id: u32) {
         let now = self.cluster.now();
         let connect_timeout = self.cluster.settings().connect_timeout;
         let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) else { return };
@@ -76,7 +78,7 @@
 
     fn send_discovery_write(&mut self, group_id: u32) {
         let Some(group) = self.cluster.group(group_id) else { return };
-        let write = primary_search::discovery_write(group, &self.requests, &self.slow_start, &self.cluster);
+        let write = search::discovery_write(group, &self.requests, &self.slow_start, &self.cluster);
         let Some(write) = write else { return };
         if let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) {
             group.start_discovery(write.request);
@@ -85,7 +87,7 @@
     }
 
     /// Takes in the end of a health check.
-    pub(super) fn health_checked(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
+    pub(crate) fn health_checked(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
         let Some(endpoint) = self.cluster.endpoints().key(id) else { return };
         self.health_checks.finished(endpoint);
         match outcome {
@@ -99,7 +101,7 @@
     }
 
     /// Counts the silence of an endpoint, at which so many attempts are late, as a failure.
-    pub(super) fn record_silence(&mut self, endpoint: EndpointKey, late_attempts: u32) {
+    pub(crate) fn record_silence(&mut self, endpoint: EndpointKey, late_attempts: u32) {
         let weight = evidence::weight_of_silence(self.cluster.is_primary(endpoint), late_attempts);
         self.record_failure(endpoint, weight);
     }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -4,8 +4,8 @@
 //! [`Freshness::PossiblyFresh`] if it may have reached it and would reject the read otherwise, and
 //! [`Freshness::Stale`] if neither holds.
 
-use super::cluster::Cluster;
-use super::endpoint::EndpointState;
+use crate::policy::cluster::Cluster;
+use crate::policy::endpoint::EndpointState;
 use crate::settings::{Consistency, Settings};
 use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
 
@@ -14,7 +14,7 @@
 
 /// The log position that a read requires, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum RequiredPosition {
+pub(crate) enum RequiredPosition {
     /// Any position will do.
     Any,
     /// This one or a later one.
@@ -25,7 +25,7 @@
 
 impl RequiredPosition {
     /// The position that a read of this consistency requires; `session_token` is that of its session.
-    pub(super) fn of(
+    pub(crate) fn of(
         consistency: Consistency,
         session_token: RequiredPosition,
         cluster: &Cluster,
@@ -46,7 +46,7 @@
     }
 
     /// Whether an endpoint has reached it that is known to be at this position.
-    pub(super) fn is_reached_at(self, position: Option<LogPosition>) -> bool {
+    pub(crate) fn is_reached_at(self, position: Option<LogPosition>) -> bool {
         match self {
             RequiredPosition::Any => true,
             RequiredPosition::AtLeast(required) => position.is_some_and(|position| position >= required),
@@ -63,7 +63,7 @@
 
 /// The position that sees every commit until an instant. Where endpoints serve stale reads, it must not be
 /// too early; where they check reads themselves, a wrong guess costs no more than an attempt.
-pub(super) fn present(cluster: &Cluster, instant: LocalInstant) -> RequiredPosition {
+pub(crate) fn present(cluster: &Cluster, instant: LocalInstant) -> RequiredPosition {
     if cluster.settings().stale_reads.is_checked() {
         return RequiredPosition::AtLeast(cluster.clock().likely(instant));
     }
@@ -72,7 +72,7 @@
 
 /// Whether an endpoint is recent enough for a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Freshness {
+pub(crate) enum Freshness {
     /// It is known to be.
     Fresh,
     /// It may be; if it is not, it rejects the read without executing it.
@@ -82,7 +82,7 @@
 }
 
 /// Whether an endpoint has reached the required position.
-pub(super) fn freshness(
+pub(crate) fn freshness(
     endpoint: &EndpointState,
     required: RequiredPosition,
     cluster: &Cluster,
@@ -111,14 +111,14 @@
 }
 
 /// Whether an endpoint is known to be so far behind that no bounded read may go there.
-pub(super) fn is_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
+pub(crate) fn is_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let required = cluster.likely_now() - cluster.shortest_staleness();
     endpoint.log_position().is_none_or(|position| position < required)
 }
 
 /// Until when an endpoint that has just rejected a read is taken to be behind: it needs at least as long as
 /// its lag to catch up.
-pub(super) fn stale_until(
+pub(crate) fn stale_until(
     endpoint: &EndpointState,
     settings: &Settings,
     now: LocalInstant,
@@ -130,7 +130,7 @@
 }
 
 /// Whether a log position is about to be too old for reads, or unknown and no read may find it out.
-pub(super) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
+pub(crate) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness() * REFRESH_AGE_SHARE;
     let is_local = endpoint.zone() == cluster.settings().zone;
     let is_old = endpoint.log_position_reported_at().is_none_or(|at| cluster.now() - at > max_age);
--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -6,11 +6,11 @@
 
 use fastrand::Rng;
 
-use super::cluster::Cluster;
-use super::random::Jitter;
-use super::request::PendingRequest;
-use super::retry::{self, NoAttempt};
 use crate::interface::Action;
+use crate::policy::cluster::Cluster;
+use crate::policy::random::Jitter;
+use crate::policy::request::PendingRequest;
+use crate::policy::retry::{self, NoAttempt};
 use crate::settings::RequestClass;
 use crate::time::Span;
 
@@ -19,7 +19,7 @@
 
 /// Why a request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum GiveUpReason {
+pub(crate) enum GiveUpReason {
     /// It has waited for its group's primary as long as it may.
     QueueTimeOver,
     /// Its deadline is reached.
@@ -42,13 +42,13 @@
 
 impl GiveUpReason {
     /// Whether the rejection counts as load shedding in the log.
-    pub(super) fn is_load_shedding(self) -> bool {
+    pub(crate) fn is_load_shedding(self) -> bool {
         matches!(self, GiveUpReason::NoCapacity | GiveUpReason::NoEndpoint)
     }
 }
 
 /// The final answer to a request that is given up.
-pub(super) fn final_answer(request: &PendingRequest, cluster: &Cluster, rng: &mut Rng) -> Action {
+pub(crate) fn final_answer(request: &PendingRequest, cluster: &Cluster, rng: &mut Rng) -> Action {
     let id = request.id().clone();
     let class = cluster.class(request.class());
     if !retry::may_client_retry(request, class) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -12,9 +12,9 @@
 //! | Is a replica recent enough? | [`freshness`] |
 //! | Can an endpoint answer in time? | [`admission`] |
 //! | What may an endpoint get that is warming up? | [`slow_start`] |
-//! | Which endpoint is the primary? | [`primary`], [`primary_search`], [`failover`] |
-//! | What does an outcome show of its endpoint? | [`evidence`] |
-//! | Which endpoints are ejected? | [`outlier_detection`] |
+//! | Which endpoint is the primary? | [`primary`], [`failover`] |
+//! | What does an outcome show of its endpoint? | [`endpoint::evidence`] |
+//! | Which endpoints are ejected? | [`endpoint::outlier_detection`] |
 //! | Which attempts take too long? | [`overdue`] |
 //! | What does a session have to see? | [`session`] |
 //! | When is the endpoint list called for? | [`watch`] |
@@ -24,30 +24,19 @@
 
 mod admission;
 mod cluster;
-mod cluster_clock;
 mod connection_limit;
 mod dispatch;
 mod endpoint;
-mod endpoint_table;
-mod event_rate;
-mod evidence;
 mod failover;
 mod freshness;
 mod give_up;
-mod group;
-mod health_checks;
-mod latency;
-mod outlier_detection;
 mod overdue;
 mod primary;
-mod primary_search;
 mod random;
 mod read_routing;
 mod request;
-mod request_table;
 mod retry;
 mod session;
-mod session_table;
 mod slow_start;
 mod token_bucket;
 mod watch;
@@ -58,13 +47,12 @@
 use crate::settings::{validate, Settings, SettingsError};
 use crate::time::{LocalInstant, Span};
 use admission::Admission;
-use cluster::Cluster;
+use cluster::{Cluster, EndpointKey};
 use connection_limit::ConnectionLimit;
-use endpoint_table::EndpointKey;
 use give_up::GiveUpReason;
-use health_checks::HealthChecks;
+use primary::health_checks::HealthChecks;
 use random::Jitter;
-use request_table::RequestTable;
+use request::RequestTable;
 use retry::RetryBudget;
 use session::Sessions;
 use slow_start::SlowStart;
@@ -84,7 +72,7 @@
 
 /// Why a request is not sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NoRoute {
+pub(crate) enum NoRoute {
     /// It waits for its group's primary.
     Queue,
     /// It is given up.
@@ -92,7 +80,7 @@
 }
 
 /// Where a request is sent, or why it is not.
-type Route = Result<EndpointKey, NoRoute>;
+pub(crate) type Route = Result<EndpointKey, NoRoute>;
 
 /// Decides where each request of one pooler goes.
 pub struct Policy {
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -1,11 +1,10 @@
 //! Attempts that take too long: which endpoints are silent, and which answers are lost.
 
-use super::admission::Admission;
-use super::cluster::Cluster;
-use super::endpoint_table::EndpointKey;
-use super::evidence::LATE_DEVIATIONS;
-use super::request_table::{AttemptInFlight, RequestKey, RequestTable};
-use super::retry::Delay;
+use crate::policy::admission::Admission;
+use crate::policy::cluster::{Cluster, EndpointKey};
+use crate::policy::endpoint::evidence::LATE_DEVIATIONS;
+use crate::policy::request::{AttemptInFlight, RequestKey, RequestTable};
+use crate::policy::retry::Delay;
 use crate::settings::Idempotency;
 
 /// An attempt is overdue at this many deviations above the mean latency ...
@@ -17,21 +16,21 @@
 
 /// An attempt that takes too long.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OverdueAttempt {
+pub(crate) struct OverdueAttempt {
     /// Its request.
-    pub(super) request: RequestKey,
+    pub(crate) request: RequestKey,
     /// Its number among the attempts of the request.
-    pub(super) number: usize,
+    pub(crate) number: usize,
     /// Where it was sent.
-    pub(super) endpoint: EndpointKey,
+    pub(crate) endpoint: EndpointKey,
     /// What the delay shows.
-    pub(super) delay: Delay,
+    pub(crate) delay: Delay,
     /// How many attempts at its endpoint are late of those sent since its last answer.
-    pub(super) late_attempts: u32,
+    pub(crate) late_attempts: u32,
 }
 
 /// All attempts that take too long, unless the silence of their endpoint has been counted.
-pub(super) fn overdue_attempts(
+pub(crate) fn overdue_attempts(
     requests: &RequestTable,
     admission: &Admission,
     cluster: &Cluster,
--- a/src/policy/health_checks.rs
+++ b/src/policy/primary/health_checks.rs
@@ -1,9 +1,8 @@
 //! Health checks: which endpoints are asked for their role and log position, and how many at most.
 
-use super::cluster::Cluster;
-use super::endpoint_table::EndpointKey;
-use super::freshness;
-use super::token_bucket::TokenBucket;
+use crate::policy::cluster::{Cluster, EndpointKey};
+use crate::policy::freshness;
+use crate::policy::token_bucket::TokenBucket;
 use crate::time::LocalInstant;
 
 /// Health-check tokens that each request deposits.
@@ -19,31 +18,31 @@
 }
 
 /// The health checks of all endpoints, and their budget.
-pub(super) struct HealthChecks {
+pub(crate) struct HealthChecks {
     budget: TokenBucket,
     by_endpoint: Vec<EndpointChecks>,
 }
 
 impl HealthChecks {
     /// A full budget.
-    pub(super) fn new() -> HealthChecks {
+    pub(crate) fn new() -> HealthChecks {
         HealthChecks { budget: TokenBucket::full(MAX_CHECKS), by_endpoint: Vec::new() }
     }
 
     /// Adds what one request earns.
-    pub(super) fn deposit(&mut self) {
+    pub(crate) fn deposit(&mut self) {
         self.budget.deposit(CHECKS_PER_REQUEST);
     }
 
     /// Whether the log position of an endpoint is to be refreshed by a health check.
-    pub(super) fn is_refresh_due(&self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
+    pub(crate) fn is_refresh_due(&self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
         let last_sent_at = self.by_endpoint.get(endpoint).and_then(|checks| checks.last_sent_at);
         let is_due = last_sent_at.is_none_or(|at| cluster.now() - at > cluster.shortest_staleness());
         is_due && freshness::needs_refresh(cluster.endpoint(endpoint), cluster)
     }
 
     /// Starts a health check, if the budget allows one and none of this endpoint is in flight.
-    pub(super) fn start(&mut self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
+    pub(crate) fn start(&mut self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
         if !self.budget.has_token() || !cluster.accepts_requests(endpoint) {
             return false;
         }
@@ -57,12 +56,12 @@
     }
 
     /// Notes that a health check has ended.
-    pub(super) fn finished(&mut self, endpoint: EndpointKey) {
+    pub(crate) fn finished(&mut self, endpoint: EndpointKey) {
         self.of(endpoint).is_in_flight = false;
     }
 
     /// Forgets the health checks of the endpoint that had this key before.
-    pub(super) fn endpoint_added(&mut self, endpoint: EndpointKey) {
+    pub(crate) fn endpoint_added(&mut self, endpoint: EndpointKey) {
         *self.of(endpoint) = EndpointChecks::default();
     }
 
--- a/src/policy/primary.rs
+++ b/src/policy/primary/mod.rs
@@ -1,14 +1,15 @@
 //! The primary of a group: which endpoint it is, namely the one with the newest claim, by itself or by the
 //! list; and whether it may get a request that only the primary can take.
 
-use super::admission::Admission;
-use super::cluster::Cluster;
-use super::endpoint_table::EndpointKey;
-use super::give_up::GiveUpReason;
-use super::group::Group;
-use super::request::PendingRequest;
-use super::slow_start::SlowStart;
-use super::{NoRoute, Route};
+pub(crate) mod health_checks;
+pub(crate) mod search;
+
+use crate::policy::admission::Admission;
+use crate::policy::cluster::{Cluster, EndpointKey, Group};
+use crate::policy::give_up::GiveUpReason;
+use crate::policy::request::PendingRequest;
+use crate::policy::slow_start::SlowStart;
+use crate::policy::{NoRoute, Route};
 
 /// Assumed age of the roles in the endpoint list, as a share of the watch gap.
 const LISTED_ROLE_AGE_SHARE: f64 = 0.5;
@@ -18,7 +19,7 @@
 const MAX_IN_FLIGHT_WHEN_DEQUEUING: u32 = 6;
 
 /// The endpoint with the newest claim to be the primary of a group.
-pub(super) fn elect(group: &Group, cluster: &Cluster) -> Option<EndpointKey> {
+pub(crate) fn elect(group: &Group, cluster: &Cluster) -> Option<EndpointKey> {
     let list_age = cluster.settings().max_watch_gap * LISTED_ROLE_AGE_SHARE;
     let claims = cluster.usable_endpoints(group).filter_map(|endpoint| {
         let claim = cluster.endpoint(endpoint).primary_claim(list_age)?;
@@ -28,7 +29,7 @@
 }
 
 /// Whether a queued request has to wait on: while the primary is busy, only those are sent that are late.
-pub(super) fn must_wait(request: &PendingRequest, primary: Option<EndpointKey>, cluster: &Cluster) -> bool {
+pub(crate) fn must_wait(request: &PendingRequest, primary: Option<EndpointKey>, cluster: &Cluster) -> bool {
     let in_flight = |endpoint: EndpointKey| cluster.endpoint(endpoint).load().in_flight();
     let is_busy = primary.is_some_and(|primary| in_flight(primary) >= MAX_IN_FLIGHT_WHEN_DEQUEUING);
     is_busy && request.objective_at() > cluster.now()
@@ -36,7 +37,7 @@
 
 /// Whether the primary gets a request that only the primary can take. The request is queued while no
 /// primary is known, or none that may take it.
-pub(super) fn route(
+pub(crate) fn route(
     request: &PendingRequest,
     cluster: &Cluster,
     admission: &Admission,
--- a/src/policy/primary_search.rs
+++ b/src/policy/primary/search.rs
@@ -2,14 +2,11 @@
 
 use fastrand::Rng;
 
-use super::cluster::Cluster;
-use super::endpoint_table::EndpointKey;
-use super::group::Group;
-use super::random::Jitter;
-use super::request::PendingRequest;
-use super::request_table::{RequestKey, RequestTable};
-use super::retry;
-use super::slow_start::SlowStart;
+use crate::policy::cluster::{Cluster, EndpointKey, Group};
+use crate::policy::random::Jitter;
+use crate::policy::request::{PendingRequest, RequestKey, RequestTable};
+use crate::policy::retry;
+use crate::policy::slow_start::SlowStart;
 use crate::time::{LocalInstant, Span};
 
 /// Interval between two steps of the search, in multiples of the connect timeout.
@@ -17,7 +14,7 @@
 
 /// The search for the primary of one group.
 #[derive(Default)]
-pub(super) struct PrimarySearch {
+pub(crate) struct PrimarySearch {
     /// When the next step is due, while there is no healthy primary.
     next_step_at: Option<LocalInstant>,
     /// The write that was last sent in search of a primary.
@@ -26,17 +23,17 @@
 
 impl PrimarySearch {
     /// Starts the search, unless it goes on already.
-    pub(super) fn start(&mut self, now: LocalInstant) {
+    pub(crate) fn start(&mut self, now: LocalInstant) {
         self.next_step_at.get_or_insert(now);
     }
 
     /// Ends the search.
-    pub(super) fn stop(&mut self) {
+    pub(crate) fn stop(&mut self) {
         self.next_step_at = None;
     }
 
     /// Whether a step is due now. Schedules the next one then.
-    pub(super) fn step_if_due(&mut self, now: LocalInstant, connect_timeout: Span, rng: &mut Rng) -> bool {
+    pub(crate) fn step_if_due(&mut self, now: LocalInstant, connect_timeout: Span, rng: &mut Rng) -> bool {
         if self.next_step_at.is_none_or(|next| now < next) {
             return false;
         }
@@ -45,23 +42,23 @@
     }
 
     /// Notes that a write was sent in search of a primary.
-    pub(super) fn start_discovery(&mut self, write: RequestKey) {
+    pub(crate) fn start_discovery(&mut self, write: RequestKey) {
         self.discovery_write = Some(write);
     }
 }
 
 /// A queued write and the endpoint that is asked by it whether it is the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct DiscoveryWrite {
+pub(crate) struct DiscoveryWrite {
     /// The write.
-    pub(super) request: RequestKey,
+    pub(crate) request: RequestKey,
     /// Where it is sent.
-    pub(super) endpoint: EndpointKey,
+    pub(crate) endpoint: EndpointKey,
 }
 
 /// The queued write to search with, and where to: the endpoint with the latest log position. One write is in
 /// flight at a time.
-pub(super) fn discovery_write(
+pub(crate) fn discovery_write(
     group: &Group,
     requests: &RequestTable,
     slow_start: &SlowStart,
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -5,40 +5,40 @@
 use crate::time::Span;
 
 /// A range of random factors. Poolers multiply their intervals by one so that they do not act in step.
-pub(super) struct Jitter {
+pub(crate) struct Jitter {
     min: f64,
     width: f64,
 }
 
 impl Jitter {
     /// From half the interval to one and a half of it.
-    pub(super) const WIDE: Jitter = Jitter { min: 0.5, width: 1.0 };
+    pub(crate) const WIDE: Jitter = Jitter { min: 0.5, width: 1.0 };
     /// From three quarters of the interval to one and a quarter of it.
-    pub(super) const NARROW: Jitter = Jitter { min: 0.75, width: 0.5 };
+    pub(crate) const NARROW: Jitter = Jitter { min: 0.75, width: 0.5 };
     /// From half the interval to one and a quarter of it: rather early, for what must not be late.
-    pub(super) const EARLY: Jitter = Jitter { min: 0.5, width: 0.75 };
+    pub(crate) const EARLY: Jitter = Jitter { min: 0.5, width: 0.75 };
 
     /// The interval times a random factor.
-    pub(super) fn apply(&self, interval: Span, rng: &mut Rng) -> Span {
+    pub(crate) fn apply(&self, interval: Span, rng: &mut Rng) -> Span {
         interval * (self.min + self.width * rng.f64())
     }
 }
 
 /// Two random numbers, from which a choice between two candidates is made.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PairOfDraws {
+pub(crate) struct PairOfDraws {
     first: usize,
     second: usize,
 }
 
 impl PairOfDraws {
     /// Draws both numbers.
-    pub(super) fn draw(rng: &mut Rng) -> PairOfDraws {
+    pub(crate) fn draw(rng: &mut Rng) -> PairOfDraws {
         PairOfDraws { first: rng.usize(..), second: rng.usize(..) }
     }
 
     /// Two different places below `len`; the same place twice if there is only one.
-    pub(super) fn places(self, len: usize) -> Option<[usize; 2]> {
+    pub(crate) fn places(self, len: usize) -> Option<[usize; 2]> {
         let last = len.checked_sub(1)?;
         let first = self.first % len;
         let second = self.second % last.max(1);
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -11,16 +11,15 @@
 
 use fastrand::Rng;
 
-use super::admission::Admission;
-use super::cluster::Cluster;
-use super::endpoint_table::EndpointKey;
-use super::freshness::{self, Freshness, RequiredPosition};
-use super::give_up::GiveUpReason;
-use super::outlier_detection::MAX_EJECTION;
-use super::random::PairOfDraws;
-use super::request::PendingRequest;
-use super::slow_start::SlowStart;
-use super::{NoRoute, Route};
+use crate::policy::admission::Admission;
+use crate::policy::cluster::{Cluster, EndpointKey};
+use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
+use crate::policy::freshness::{self, Freshness, RequiredPosition};
+use crate::policy::give_up::GiveUpReason;
+use crate::policy::random::PairOfDraws;
+use crate::policy::request::PendingRequest;
+use crate::policy::slow_start::SlowStart;
+use crate::policy::{NoRoute, Route};
 use crate::settings::Consistency;
 use crate::time::LocalInstant;
 
@@ -47,7 +46,7 @@
 }
 
 /// One read that is to be routed, and what is known for it.
-pub(super) struct ReadRouter<'a> {
+pub(crate) struct ReadRouter<'a> {
     request: &'a PendingRequest,
     cluster: &'a Cluster,
     admission: &'a Admission,
@@ -65,7 +64,7 @@
 
 impl<'a> ReadRouter<'a> {
     /// Looks at the group of a read; none if it is not known.
-    pub(super) fn new(
+    pub(crate) fn new(
         request: &'a PendingRequest,
         cluster: &'a Cluster,
         admission: &'a Admission,
@@ -93,7 +92,7 @@
     }
 
     /// The endpoint that gets the read, or why none does now.
-    pub(super) fn route(&self) -> Route {
+    pub(crate) fn route(&self) -> Route {
         let steps = [
             ReadRouter::fresh_replica,
             ReadRouter::possibly_fresh_replica,
--- a/src/policy/request_table.rs
+++ b/src/policy/request/table.rs
@@ -2,39 +2,39 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::endpoint_table::EndpointKey;
-use super::request::{Attempt, PendingRequest};
 use crate::interface::{AttemptResult, RequestId};
+use crate::policy::cluster::EndpointKey;
+use crate::policy::request::{Attempt, PendingRequest};
 
 /// The number of a request, from 1 in the order of arrival.
-pub(super) type RequestKey = u64;
+pub(crate) type RequestKey = u64;
 
 /// An attempt in flight and its request.
 #[derive(Clone, Copy)]
-pub(super) struct AttemptInFlight<'a> {
+pub(crate) struct AttemptInFlight<'a> {
     /// The key of the request.
-    pub(super) key: RequestKey,
+    pub(crate) key: RequestKey,
     /// The request.
-    pub(super) request: &'a PendingRequest,
+    pub(crate) request: &'a PendingRequest,
     /// The number of the attempt among those of the request.
-    pub(super) number: usize,
+    pub(crate) number: usize,
     /// The attempt.
-    pub(super) attempt: &'a Attempt,
+    pub(crate) attempt: &'a Attempt,
 }
 
 /// An attempt that has just ended.
-pub(super) struct EndedAttempt {
+pub(crate) struct EndedAttempt {
     /// The key of its request.
-    pub(super) key: RequestKey,
+    pub(crate) key: RequestKey,
     /// The class of its request.
-    pub(super) class: usize,
+    pub(crate) class: usize,
     /// The attempt, as it was while in flight.
-    pub(super) attempt: Attempt,
+    pub(crate) attempt: Attempt,
 }
 
 /// Pending requests by key and by identifier.
 #[derive(Default)]
-pub(super) struct RequestTable {
+pub(crate) struct RequestTable {
     requests: BTreeMap<RequestKey, PendingRequest>,
     keys: HashMap<RequestId, RequestKey>,
     last_key: RequestKey,
@@ -42,7 +42,7 @@
 
 impl RequestTable {
     /// Adds a request.
-    pub(super) fn insert(&mut self, request: PendingRequest) -> RequestKey {
+    pub(crate) fn insert(&mut self, request: PendingRequest) -> RequestKey {
         self.last_key += 1;
         self.keys.insert(request.id().clone(), self.last_key);
         self.requests.insert(self.last_key, request);
@@ -50,27 +50,27 @@
     }
 
     /// The key of a pending request.
-    pub(super) fn key(&self, id: &RequestId) -> Option<RequestKey> {
+    pub(crate) fn key(&self, id: &RequestId) -> Option<RequestKey> {
         self.keys.get(id).copied()
     }
 
     /// A pending request.
-    pub(super) fn get(&self, key: RequestKey) -> Option<&PendingRequest> {
+    pub(crate) fn get(&self, key: RequestKey) -> Option<&PendingRequest> {
         self.requests.get(&key)
     }
 
     /// A pending request, to be changed.
-    pub(super) fn get_mut(&mut self, key: RequestKey) -> Option<&mut PendingRequest> {
+    pub(crate) fn get_mut(&mut self, key: RequestKey) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&key)
     }
 
     /// A request that has had no final answer.
-    pub(super) fn unfinished_mut(&mut self, key: RequestKey) -> Option<&mut PendingRequest> {
+    pub(crate) fn unfinished_mut(&mut self, key: RequestKey) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&key).filter(|request| !request.is_finished())
     }
 
     /// Marks a request as finished; it is kept while attempts of it are in flight.
-    pub(super) fn finish(&mut self, key: RequestKey) {
+    pub(crate) fn finish(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         request.finish();
         if !request.is_in_flight() {
@@ -80,14 +80,14 @@
     }
 
     /// Marks the request with this identifier as finished.
-    pub(super) fn finish_by_id(&mut self, id: &RequestId) {
+    pub(crate) fn finish_by_id(&mut self, id: &RequestId) {
         if let Some(key) = self.key(id) {
             self.finish(key);
         }
     }
 
     /// All attempts in flight, in the order of their requests.
-    pub(super) fn attempts_in_flight(&self) -> impl Iterator<Item = AttemptInFlight<'_>> {
+    pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = AttemptInFlight<'_>> {
         self.iter().flat_map(|(key, request)| {
             let attempts = request.attempts().iter().enumerate();
             let in_flight = attempts.filter(|(_, attempt)| attempt.is_in_flight());
@@ -96,7 +96,7 @@
     }
 
     /// For each of so many endpoints, how many attempts in flight match.
-    pub(super) fn count_by_endpoint(
+    pub(crate) fn count_by_endpoint(
         &self,
         endpoints: usize,
         matches: impl Fn(&AttemptInFlight) -> bool,
@@ -110,12 +110,12 @@
     }
 
     /// The attempt whose end a result reports.
-    pub(super) fn attempt(&self, result: &AttemptResult) -> Option<&Attempt> {
+    pub(crate) fn attempt(&self, result: &AttemptResult) -> Option<&Attempt> {
         self.get(self.key(&result.id)?)?.attempts().get(result.attempt)
     }
 
     /// Marks an attempt as ended. Returns it as it was while in flight, unless it had ended before.
-    pub(super) fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
+    pub(crate) fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let key = self.key(&result.id)?;
         let request = self.get_mut(key)?;
         let attempt = request.end_attempt(result.attempt, result.outcome)?;
@@ -123,7 +123,7 @@
     }
 
     /// All pending requests in the order of their arrival.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (RequestKey, &PendingRequest)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (RequestKey, &PendingRequest)> {
         self.requests.iter().map(|(key, request)| (*key, request))
     }
 }
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -3,7 +3,7 @@
 use crate::time::tests::{at, secs};
 
 /// A request of this class for group 0, received at 0 s, with an objective at 0.5 s and a deadline at 1 s.
-pub(in crate::policy) fn pending(id: &str, class: usize) -> PendingRequest {
+pub(crate) fn pending(id: &str, class: usize) -> PendingRequest {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
     let terms = RequestTerms {
         objective_at: at(0.5),
--- a/src/policy/retry.rs
+++ b/src/policy/retry/mod.rs
@@ -9,59 +9,27 @@
 //! - the final answer is not due, and an answer would still be of use;
 //! - the [`RetryBudget`] has a token, if the earlier attempt may have been executed.
 //!
-//! The budget is the one of Finagle and tower: each request deposits a fraction of a token and each retry
-//! withdraws one, so that retries stay a small share of the requests. Retries of what was not executed cost
-//! nothing: the endpoint did no work for them.
-
-use super::cluster::Cluster;
-use super::give_up::GiveUpReason;
-use super::latency::LatencyEstimator;
-use super::request::PendingRequest;
-use super::token_bucket::TokenBucket;
+//! Retries of what was not executed need no budget: the endpoint did no work for them.
+
+mod budget;
+
 use crate::interface::Outcome;
+use crate::policy::admission::LatencyEstimator;
+use crate::policy::cluster::Cluster;
+use crate::policy::give_up::GiveUpReason;
+use crate::policy::request::PendingRequest;
 use crate::settings::{Consistency, DeduplicationScope, Idempotency, RequestClass, Settings};
 use crate::time::{LocalInstant, Span};
+pub(crate) use budget::RetryBudget;
 
-/// Retry tokens that each request deposits: 10% more attempts cannot amplify an overload.
-const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Largest retry budget: enough for the requests that one lost endpoint had in flight.
-const MAX_RETRIES: f64 = 20.0;
-/// Share of the largest retry budget with which a pooler starts.
-const INITIAL_RETRIES_SHARE: f64 = 0.5;
 /// How long the process may be suspended between a decision and the write that follows from it.
 const MAX_PROCESS_PAUSE: Span = Span::from_secs(0.15);
 /// An attempt that has been replaced so many times is left alone.
 const MAX_REPLACED_ATTEMPTS: usize = 3;
 
-/// The retries that may be sent of requests that may have been executed.
-pub(super) struct RetryBudget {
-    tokens: TokenBucket,
-}
-
-impl RetryBudget {
-    /// A budget to begin with.
-    pub(super) fn new() -> RetryBudget {
-        RetryBudget { tokens: TokenBucket::new(MAX_RETRIES * INITIAL_RETRIES_SHARE, MAX_RETRIES) }
-    }
-
-    /// Adds what one request earns.
-    pub(super) fn deposit(&mut self) {
-        self.tokens.deposit(RETRIES_PER_REQUEST);
-    }
-
-    /// Takes one retry. Returns whether it was there.
-    pub(super) fn withdraw(&mut self) -> bool {
-        self.tokens.try_withdraw()
-    }
-
-    fn has_retry(&self) -> bool {
-        self.tokens.has_token()
-    }
-}
-
 /// Why a request may not have another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoAttempt {
+pub(crate) enum NoAttempt {
     /// As many attempts are in flight as the settings allow.
     InFlight,
     /// All attempts that the settings allow were made.
@@ -79,7 +47,7 @@
 
 /// Whether a request may have one more attempt now. Returns the time by which that must be answered: the
 /// deadline, or the end of the deduplication window if that is earlier.
-pub(super) fn next_attempt(request: &PendingRequest, cluster: &Cluster) -> Result<LocalInstant, NoAttempt> {
+pub(crate) fn next_attempt(request: &PendingRequest, cluster: &Cluster) -> Result<LocalInstant, NoAttempt> {
     let settings = cluster.settings();
     if request.attempts_in_flight() >= settings.max_attempts_in_flight() {
         return Err(NoAttempt::InFlight);
@@ -118,7 +86,7 @@
 }
 
 /// Whether a request without attempts in flight may be sent now, or why it has to be given up.
-pub(super) fn check_dispatch(request: &PendingRequest, cluster: &Cluster) -> Result<(), GiveUpReason> {
+pub(crate) fn check_dispatch(request: &PendingRequest, cluster: &Cluster) -> Result<(), GiveUpReason> {
     next_attempt(request, cluster).map_err(GiveUpReason::NoAttempt)?;
     let useful_until = request.useful_until(cluster.class(request.class()));
     if cluster.now() >= useful_until {
@@ -137,7 +105,7 @@
 
 /// Whether a request may be retried after an attempt that ended in this way. Takes a retry from the budget
 /// if it may have been executed.
-pub(super) fn check_retry(
+pub(crate) fn check_retry(
     outcome: Outcome,
     is_at_primary: bool,
     budget: &mut RetryBudget,
@@ -154,7 +122,7 @@
 
 /// Whether a queued request may be sent to find out which endpoint is the primary: a write that was not
 /// executed, since an endpoint that is not the primary rejects it without executing it.
-pub(super) fn may_discover_primary(request: &PendingRequest, cluster: &Cluster) -> bool {
+pub(crate) fn may_discover_primary(request: &PendingRequest, cluster: &Cluster) -> bool {
     let is_write = cluster.class(request.class()).is_write();
     let is_unexecuted = request.may_have_run_since().is_none() && next_attempt(request, cluster).is_ok();
     is_write && is_unexecuted && !request.is_finished() && !is_answer_due(request, cluster)
@@ -162,16 +130,16 @@
 
 /// What an attempt that takes too long shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Delay {
+pub(crate) struct Delay {
     /// The endpoint has answered nothing since the attempt was sent.
-    pub(super) is_endpoint_silent: bool,
+    pub(crate) is_endpoint_silent: bool,
     /// The endpoint has long answered later attempts: this answer is lost.
-    pub(super) is_answer_lost: bool,
+    pub(crate) is_answer_lost: bool,
 }
 
 /// What replaces an attempt that takes too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Replacement {
+pub(crate) enum Replacement {
     /// A second attempt beside it: a hedged request.
     Hedge,
     /// It is cancelled, which leads to a retry.
@@ -180,7 +148,7 @@
 
 /// How an attempt that takes too long is to be replaced, if that is safe, is allowed and could still be
 /// answered in time.
-pub(super) fn replacement(
+pub(crate) fn replacement(
     request: &PendingRequest,
     number: usize,
     delay: Delay,
@@ -221,7 +189,7 @@
 }
 
 /// Whether its client may send a request again that the pooler has given up.
-pub(super) fn may_client_retry(request: &PendingRequest, class: &RequestClass) -> bool {
+pub(crate) fn may_client_retry(request: &PendingRequest, class: &RequestClass) -> bool {
     let is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
         // The client's retry may reach an endpoint that does not share the keys of this group.
--- a/src/policy/session.rs
+++ b/src/policy/session/mod.rs
@@ -3,16 +3,17 @@
 //! Clients carry the age of their session's last write with each read, or the pooler remembers the commits of
 //! each session, as the settings say. Where it cannot know of a write, any session may have written.
 
+mod table;
+
 use std::sync::Arc;
 
-use super::cluster::Cluster;
-use super::freshness::{self, RequiredPosition};
-use super::request::PendingRequest;
-use super::request_table::RequestTable;
-use super::session_table::SessionTable;
 use crate::interface::{AttemptResult, Outcome, Request};
+use crate::policy::cluster::Cluster;
+use crate::policy::freshness::{self, RequiredPosition};
+use crate::policy::request::{PendingRequest, RequestTable};
 use crate::settings::Consistency;
 use crate::time::{LocalInstant, LogPosition, Span};
+use table::SessionTable;
 
 /// Number of remembered writes; a forgotten session counts as having written when the latest of them did.
 const MAX_SESSION_WRITES: usize = 20_000;
@@ -21,7 +22,7 @@
 
 /// What the pooler knows of the writes of sessions.
 #[derive(Default)]
-pub(super) struct Sessions {
+pub(crate) struct Sessions {
     commits: SessionTable,
     /// Any session may have written until then, although no write of it is remembered.
     unknown_writes_until: Option<LocalInstant>,
@@ -29,13 +30,13 @@
 
 impl Sessions {
     /// Notes that writes until now are not known, as after a restart.
-    pub(super) fn forget_everything_until(&mut self, now: LocalInstant) {
+    pub(crate) fn forget_everything_until(&mut self, now: LocalInstant) {
         self.unknown_writes_until = Some(now);
     }
 
     /// The position that a request has to see as a read of its session. `pending` are the requests in
     /// progress.
-    pub(super) fn token(
+    pub(crate) fn token(
         &self,
         request: &Request,
         pending: &RequestTable,
@@ -59,7 +60,7 @@
     }
 
     /// Remembers the commit of a write. One whose commit is unknown was committed before now at the latest.
-    pub(super) fn remember_write(
+    pub(crate) fn remember_write(
         &mut self,
         request: &PendingRequest,
         result: &AttemptResult,
--- a/src/policy/session_table.rs
+++ b/src/policy/session/table.rs
@@ -13,7 +13,7 @@
 
 /// The last commit of each session that wrote recently.
 #[derive(Default)]
-pub(super) struct SessionTable {
+pub(crate) struct SessionTable {
     last_commits: HashMap<Arc<str>, LogPosition>,
     /// Every write, in the order in which they were remembered.
     writes: VecDeque<RememberedWrite>,
@@ -23,20 +23,20 @@
 
 impl SessionTable {
     /// The latest commit that a session may have made.
-    pub(super) fn last_commit(&self, session: Option<&Arc<str>>) -> Option<LogPosition> {
+    pub(crate) fn last_commit(&self, session: Option<&Arc<str>>) -> Option<LogPosition> {
         let known = session.and_then(|session| self.last_commits.get(session));
         known.copied().or(self.forgotten_until)
     }
 
     /// Remembers a commit.
-    pub(super) fn remember(&mut self, session: Arc<str>, commit: LogPosition) {
+    pub(crate) fn remember(&mut self, session: Arc<str>, commit: LogPosition) {
         let last = self.last_commits.entry(session.clone()).or_insert(commit);
         *last = commit.max(*last);
         self.writes.push_back(RememberedWrite { session, commit });
     }
 
     /// Forgets the oldest writes, down to so many and those since `horizon`.
-    pub(super) fn forget(&mut self, max_writes: usize, horizon: LogPosition) {
+    pub(crate) fn forget(&mut self, max_writes: usize, horizon: LogPosition) {
         while let Some(oldest) = self.writes.front() {
             if self.writes.len() <= max_writes && oldest.commit >= horizon {
                 break;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start/mod.rs
@@ -10,15 +10,15 @@
 //!   has of the group's traffic times the overload limit. It holds in a burst, where a share would be too
 //!   much.
 
+mod event_rate;
+
 use std::collections::BTreeMap;
 
-use super::cluster::Cluster;
-use super::endpoint_table::EndpointKey;
-use super::event_rate::EventRate;
-use super::group::Group;
-use super::request::PendingRequest;
-use super::token_bucket::TokenBucket;
+use crate::policy::cluster::{Cluster, EndpointKey, Group};
+use crate::policy::request::PendingRequest;
+use crate::policy::token_bucket::TokenBucket;
 use crate::time::{LocalInstant, Span};
+use event_rate::EventRate;
 
 /// Upper limit of the share of reads for an endpoint that is warming up, in multiples of its capacity ...
 const MAX_READ_SHARE: f64 = 1.0;
@@ -63,7 +63,7 @@
 }
 
 /// What endpoints that are warming up may get, and the traffic from which this is computed.
-pub(super) struct SlowStart {
+pub(crate) struct SlowStart {
     /// Running share of the requests that a replica may answer.
     read_share: f64,
     traffic: BTreeMap<u32, GroupTraffic>,
@@ -73,12 +73,12 @@
 
 impl SlowStart {
     /// Limits that know of no traffic yet.
-    pub(super) fn new() -> SlowStart {
+    pub(crate) fn new() -> SlowStart {
         SlowStart { read_share: 1.0, traffic: BTreeMap::new(), budgets: Vec::new() }
     }
 
     /// Counts a request that was received for a group.
-    pub(super) fn record_request(&mut self, group: u32, needs_primary: bool, cluster: &Cluster) {
+    pub(crate) fn record_request(&mut self, group: u32, needs_primary: bool, cluster: &Cluster) {
         let is_read = f64::from(u8::from(!needs_primary));
         self.read_share += READ_SHARE_WEIGHT * (is_read - self.read_share);
         let (now, overload_window) = (cluster.now(), cluster.settings().overload_window);
@@ -90,12 +90,12 @@
     }
 
     /// Forgets the traffic of groups that are not known any more.
-    pub(super) fn forget_groups(&mut self, cluster: &Cluster) {
+    pub(crate) fn forget_groups(&mut self, cluster: &Cluster) {
         self.traffic.retain(|group, _| cluster.group(*group).is_some());
     }
 
     /// Gives an endpoint that has started its first budget.
-    pub(super) fn endpoint_started(&mut self, endpoint: EndpointKey) {
+    pub(crate) fn endpoint_started(&mut self, endpoint: EndpointKey) {
         if let Some(budget) = self.budgets.get_mut(endpoint) {
             *budget = TokenBucket::full(INITIAL_BUDGET);
         }
@@ -103,7 +103,7 @@
 
     /// Whether an endpoint that may be warming up may get this read, at most once. `share` is that of its
     /// group, see [`read_share`](Self::read_share).
-    pub(super) fn admits_read(
+    pub(crate) fn admits_read(
         &self,
         request: &PendingRequest,
         to: EndpointKey,
@@ -115,7 +115,7 @@
     }
 
     /// Whether a primary that may be warming up may get this request, at most once.
-    pub(super) fn admits_to_primary(
+    pub(crate) fn admits_to_primary(
         &self,
         request: &PendingRequest,
         to: EndpointKey,
@@ -134,7 +134,7 @@
 
     /// Share of a group's reads that an endpoint in slow start may get, in multiples of its capacity: its
     /// overload limit over the capacity of the group.
-    pub(super) fn read_share(&self, group: &Group, cluster: &Cluster) -> f64 {
+    pub(crate) fn read_share(&self, group: &Group, cluster: &Cluster) -> f64 {
         let Some(limit) = cluster.settings().overload_limit else { return MAX_READ_SHARE };
         let reads = group_capacity(group, cluster).max(1.0) * self.read_share;
         (limit * READ_SHARE_OF_LIMIT / reads).min(MAX_READ_SHARE)
@@ -142,7 +142,7 @@
 
     /// Spends the budget of an endpoint on a request that is sent to it, if it is warming up. The trial of an
     /// ejected endpoint needs no budget, but uses it.
-    pub(super) fn spend(&mut self, to: EndpointKey, cluster: &Cluster) {
+    pub(crate) fn spend(&mut self, to: EndpointKey, cluster: &Cluster) {
         if capacity(to, cluster) >= 1.0 {
             return;
         }
--- a/src/policy/watch.rs
+++ b/src/policy/watch.rs
@@ -3,7 +3,7 @@
 
 use fastrand::Rng;
 
-use super::random::Jitter;
+use crate::policy::random::Jitter;
 use crate::settings::Settings;
 use crate::time::{LocalInstant, Span};
 
@@ -18,7 +18,7 @@
 
 /// Whether an event has changed the condition of the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum WatchChange {
+pub(crate) enum WatchChange {
     /// It is as before.
     Unchanged,
     /// It was lost, or restored.
@@ -27,7 +27,7 @@
 
 /// The condition of the watch.
 #[derive(Default)]
-pub(super) struct Watch {
+pub(crate) struct Watch {
     is_open: bool,
     retry_at: LocalInstant,
     consecutive_failures: i32,
@@ -36,7 +36,7 @@
 impl Watch {
     /// Whether the watch is to be called for now. It is not called for again before the call may have timed
     /// out.
-    pub(super) fn call_if_due(&mut self, settings: &Settings, now: LocalInstant) -> bool {
+    pub(crate) fn call_if_due(&mut self, settings: &Settings, now: LocalInstant) -> bool {
         if !settings.watch_endpoints || self.is_open || now < self.retry_at {
             return false;
         }
@@ -45,7 +45,7 @@
     }
 
     /// Notes that a call failed or the watch broke. The current list stays in force.
-    pub(super) fn failed(&mut self, settings: &Settings, now: LocalInstant, rng: &mut Rng) -> WatchChange {
+    pub(crate) fn failed(&mut self, settings: &Settings, now: LocalInstant, rng: &mut Rng) -> WatchChange {
         self.is_open = false;
         self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
         let doublings = f64::from(1 << self.consecutive_failures);
@@ -59,7 +59,7 @@
     }
 
     /// Notes that an update was received.
-    pub(super) fn succeeded(&mut self) -> WatchChange {
+    pub(crate) fn succeeded(&mut self) -> WatchChange {
         self.is_open = true;
         if std::mem::take(&mut self.consecutive_failures) > 0 {
             WatchChange::Changed
