--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -1,24 +1,40 @@
-//! The load report of a database host: names and values such as `x0=1767225600.123,x1=1`.
+//! The load report that an endpoint sends: names and numbers such as `x0=1767225600.123,x1=1`.
+//!
+//! The other modules of the library take the names of its fields from this one.
 
 use crate::interface::LoadReport;
 
 /// The field that holds the applied log position (Unix seconds).
 pub(crate) const LOG_POSITION_FIELD: &str = "x0";
-/// The field that is 1 where the host is the primary.
+/// The field that holds the role: [`PRIMARY`], or another number for a replica.
 pub(crate) const PRIMARY_FIELD: &str = "x1";
 
-/// Parses a load report. One that cannot be read as a whole tells nothing: what is legible in it may be wrong
-/// too.
+/// The value of [`PRIMARY_FIELD`] that stands for the primary.
+const PRIMARY: f64 = 1.0;
+
+/// Parses a load report. Unknown fields are ignored.
+///
+/// Returns `None` where any field cannot be read: the others may be wrong too.
 pub(crate) fn parse(text: &[u8]) -> Option<LoadReport> {
+    let text = std::str::from_utf8(text).ok()?;
     let mut report = LoadReport::default();
-    for pair in std::str::from_utf8(text).ok()?.split(',') {
-        let (name, value) = pair.split_once('=')?;
-        let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite())?;
-        match name.trim() {
+    for field in text.split(',') {
+        let (name, value) = parse_field(field)?;
+        match name {
             LOG_POSITION_FIELD => report.log_position = Some(value),
-            PRIMARY_FIELD => report.primary = Some(value == 1.0),
+            PRIMARY_FIELD => report.primary = Some(value == PRIMARY),
             _ => {}
         }
     }
     Some(report)
 }
+
+/// Splits a field into its name and its value, which must be a finite number.
+fn parse_field(field: &str) -> Option<(&str, f64)> {
+    let (name, value) = field.split_once('=')?;
+    let value: f64 = value.trim().parse().ok()?;
+    value.is_finite().then_some((name.trim(), value))
+}
+
+#[cfg(test)]
+mod tests;
