--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,4 +1,6 @@
 //! The endpoint list as service discovery sends it and as the configuration caches it.
+//!
+//! This is the one place that knows the names of its JSON fields and the texts in them.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -10,15 +12,20 @@
 /// Stands for the address of a removed endpoint that has none any more.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// A message of discovery: the list of database hosts, or what has changed in it.
+/// The access that an endpoint offers if it is the primary of its group.
+const PRIMARY_ACCESS: &str = "writer";
+
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// A message of service discovery: a snapshot of the endpoint list, or a delta.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(try_from = "RawEndpointList")]
 pub(crate) struct EndpointList {
     /// The version of the list.
     pub index: u64,
-    /// Whether it is the whole list.
+    /// Whether it is a snapshot, with every endpoint; a delta has those that have changed.
     pub snapshot: bool,
-    /// Whether every entry could be read.
+    /// Whether every entry could be read. What a list lacks that is not complete is unknown, not removed.
     pub complete: bool,
     /// The entries that could be read.
     pub endpoints: Vec<ListedEndpoint>,
@@ -27,7 +34,7 @@
 /// One entry of an endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedEndpoint {
-    /// The name by which the policy knows it.
+    /// Its name, by which the policy identifies it.
     pub name: EndpointId,
     /// Where it accepts connections.
     pub address: SocketAddr,
@@ -37,7 +44,7 @@
     pub group: u32,
     /// Whether it takes requests.
     pub status: EndpointStatus,
-    /// When it last started (Unix seconds); 0 means long ago.
+    /// When it last started (Unix seconds); 0 where the list does not say, which means long ago.
     pub started_at: f64,
     /// Whether the list names it as its group's primary.
     pub primary: bool,
@@ -57,12 +64,12 @@
 /// An endpoint list in its JSON form.
 #[derive(Deserialize)]
 struct RawEndpointList {
-    #[serde(default, deserialize_with = "lenient::value")]
-    index: Option<f64>,
-    #[serde(default, deserialize_with = "lenient::value")]
-    snapshot: bool,
-    #[serde(default, deserialize_with = "lenient::list")]
-    endpoints: Option<Vec<RawEndpoint>>,
+    #[serde(rename = "index", default, deserialize_with = "lenient::value")]
+    version: Option<f64>,
+    #[serde(rename = "snapshot", default, deserialize_with = "lenient::value")]
+    is_snapshot: bool,
+    #[serde(rename = "endpoints", default, deserialize_with = "lenient::list")]
+    entries: Option<Vec<RawEndpoint>>,
 }
 
 /// An entry of an endpoint list in its JSON form.
@@ -78,8 +85,8 @@
     group: Option<f64>,
     #[serde(default, deserialize_with = "lenient::value")]
     status: Option<String>,
-    #[serde(default, deserialize_with = "lenient::value")]
-    since_ms: Option<f64>,
+    #[serde(rename = "since_ms", default, deserialize_with = "lenient::value")]
+    started_at_millis: Option<f64>,
     #[serde(default, deserialize_with = "lenient::value")]
     access: Option<String>,
 }
@@ -87,15 +94,16 @@
 impl TryFrom<RawEndpointList> for EndpointList {
     type Error = EndpointListError;
 
-    /// Leaves out entries that cannot be read; the list is not complete then.
+    /// Leaves out entries that cannot be read; the list is not complete then. Fails where the list has no
+    /// version or no entries.
     fn try_from(raw: RawEndpointList) -> Result<Self, Self::Error> {
-        let entries = raw.endpoints.ok_or(EndpointListError::NoEndpoints)?;
-        let index = raw.index.ok_or(EndpointListError::NoIndex)?;
+        let entries = raw.entries.ok_or(EndpointListError::NoEndpoints)?;
+        let version = raw.version.ok_or(EndpointListError::NoIndex)?;
         let entry_count = entries.len();
         let endpoints: Vec<ListedEndpoint> = entries.into_iter().filter_map(RawEndpoint::decode).collect();
         Ok(EndpointList {
-            index: index as u64,
-            snapshot: raw.snapshot,
+            index: version as u64,
+            snapshot: raw.is_snapshot,
             complete: endpoints.len() == entry_count,
             endpoints,
         })
@@ -112,19 +120,19 @@
             zone: self.zone?,
             group: self.group? as u32,
             status,
-            started_at: self.since_ms.unwrap_or(0.0) / 1000.0,
-            primary: self.access.as_deref() == Some("writer"),
+            started_at: self.started_at_millis.unwrap_or(0.0) / MILLIS_PER_SECOND,
+            primary: self.access.as_deref() == Some(PRIMARY_ACCESS),
         })
     }
 }
 
 fn decode_status(text: &str) -> Option<EndpointStatus> {
-    match text {
-        "SERVING" => Some(EndpointStatus::Serving),
-        "DRAINING" => Some(EndpointStatus::Draining),
-        "DELETED" => Some(EndpointStatus::Removed),
-        _ => None,
-    }
+    Some(match text {
+        "SERVING" => EndpointStatus::Serving,
+        "DRAINING" => EndpointStatus::Draining,
+        "DELETED" => EndpointStatus::Removed,
+        _ => return None,
+    })
 }
 
 /// Decodes an address. A removed endpoint may have none: its removal has to be known all the same.
--- a/src/endpoint_list/tests.rs
+++ b/src/endpoint_list/tests.rs
@@ -8,7 +8,7 @@
 }
 
 fn entry() -> Value {
-    json!({"name": "s-1", "address": "10.0.0.1:5", "zone": "here", "group": 2, "status": "SERVING"})
+    json!({"name": "s-1", "address": "10.0.0.1:5", "zone": "zone-a", "group": 2, "status": "SERVING"})
 }
 
 fn entry_with(field: &str, value: Value) -> Value {
@@ -28,7 +28,7 @@
     let list = decode(json!({"index": 43.0, "snapshot": true, "odd": 1, "endpoints": [entry()]})).unwrap();
     assert_eq!((list.index, list.snapshot, list.complete, list.endpoints.len()), (43, true, true, 1));
     let endpoint = &list.endpoints[0];
-    assert_eq!((&*endpoint.name, endpoint.zone.as_str(), endpoint.group), ("s-1", "here", 2));
+    assert_eq!((&*endpoint.name, endpoint.zone.as_str(), endpoint.group), ("s-1", "zone-a", 2));
     assert_eq!((endpoint.address, endpoint.status), (([10, 0, 0, 1], 5).into(), EndpointStatus::Serving));
     assert_eq!((endpoint.started_at, endpoint.primary), (0.0, false));
 }
@@ -44,7 +44,7 @@
 
 #[rstest]
 #[case::null(json!(null))]
-#[case::array(json!(["s-1", "10.0.0.1:5", "here", 2, "SERVING"]))]
+#[case::array(json!(["s-1", "10.0.0.1:5", "zone-a", 2, "SERVING"]))]
 #[case::name(entry_with("name", json!(1)))]
 #[case::address(entry_with("address", json!("localhost")))]
 #[case::no_address(entry_with("address", json!(null)))]
