--- a/src/adapter/main.rs
+++ b/src/adapter/main.rs
@@ -10,6 +10,7 @@
 
 use instances::{BatchStatus, Instances};
 
+/// The exit status after a line that cannot be read or handled.
 const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -42,6 +43,7 @@
     }
 }
 
+/// Reports the line to the operator, and returns the exit status.
 fn fail(line_number: u64, error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("pg-pooler-sim-adapter: line {line_number}: {error}");
     ExitCode::from(EXIT_FAILURE)
--- a/src/adapter/wire/decode/endpoints.rs
+++ b/src/adapter/wire/decode/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::wire::fields::Fields;
 use crate::wire::{layout, names, InventoryId, WireError};
 
-/// Decodes the entries of an inventory.
+/// Decodes the entries of an inventory. Fails where one of them is malformed.
 pub fn decode_endpoints(entries: &[Value]) -> Result<Vec<Endpoint>, WireError> {
     entries.iter().map(decode_endpoint).collect()
 }
--- a/src/adapter/wire/decode/instance_messages.rs
+++ b/src/adapter/wire/decode/instance_messages.rs
@@ -32,10 +32,12 @@
         InstanceLine { instance, name, values }
     }
 
-    /// Decodes the message; `base_time` is that of the instance.
+    /// Decodes the message; `base_time` is that of the instance. Fails where a field has a wrong type or an
+    /// unknown value.
     pub fn decode(&self, base_time: BaseTime) -> Result<InstanceMessage, WireError> {
         let fields = Fields(&self.values);
         let event = match self.name {
+            // The update only refers to an inventory, which this line does not have.
             InstanceMessageName::EndpointsUpdated => {
                 let (kind, inventory) = endpoints::decode_update(fields)?;
                 return Ok(InstanceMessage::EndpointsFromInventory { kind, inventory });
--- a/src/adapter/wire/decode/mod.rs
+++ b/src/adapter/wire/decode/mod.rs
@@ -16,6 +16,7 @@
 
 pub use instance_messages::{InstanceLine, InstanceMessage};
 
+/// Some times on the wire are in milliseconds.
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// A line of the simulator.
@@ -49,6 +50,8 @@
 }
 
 /// Decodes a line, except for the fields of a message to an instance.
+///
+/// Fails where the line is no message, the message is unknown, or one of its fields or settings has a wrong type.
 pub fn decode_line(line: &[u8]) -> Result<Message, WireError> {
     let (name, values) = split_line(line)?;
     let fields = Fields(&values);
--- a/src/adapter/wire/decode/results.rs
+++ b/src/adapter/wire/decode/results.rs
@@ -12,7 +12,7 @@
 const ROLE_MASK: i64 = 3;
 const ROLE_BITS: u32 = 2;
 
-/// Decodes the result of an attempt.
+/// Decodes the result of an attempt. Fails where a field has a wrong type or the outcome is unknown.
 pub fn decode_attempt_result(fields: Fields, base_time: BaseTime) -> Result<AttemptResult, WireError> {
     let position_and_role = fields.integer_or_zero(layout::attempt_result::POSITION_AND_ROLE)?;
     Ok(AttemptResult {
@@ -34,7 +34,7 @@
     (millis > 0).then(|| base_time.log_position(millis as f64 / MILLIS_PER_SECOND))
 }
 
-/// Decodes the result of a health check.
+/// Decodes the result of a health check. Fails where a field has a wrong type or the outcome is unknown.
 pub fn decode_health_check(fields: Fields, base_time: BaseTime) -> Result<Event, WireError> {
     Ok(Event::HealthChecked {
         endpoint: fields.text(layout::health_check::ENDPOINT)?.into(),
@@ -43,6 +43,7 @@
     })
 }
 
+/// Decodes a load report. One that is absent or of a wrong type reports nothing.
 fn decode_load_report(report: &Value, base_time: BaseTime) -> LoadReport {
     let log_position = report[names::load_report::LOG_POSITION].as_f64();
     LoadReport {
--- a/tests/sim_adapter.rs
+++ b/tests/sim_adapter.rs
@@ -9,7 +9,7 @@
 const OPENING_TURN: &str = r#"["turn",1.0]
 ["openInstance",3,42,{"classes":[{"aim":0.4,"deadline":1.0,"effect":"read_like","value":1.0,"odd":[1]}],"#;
 
-/// The rest of the opening: an endpoint list of two hosts and the first members of the fleet. Fields that the
+/// The rest of the opening: an inventory of two endpoints, and an update that refers to it. Fields that the
 /// adapter does not know are ignored.
 const OPENING_INVENTORY: &str = r#""specifics":{"consistency":["any"],"baseTime":0,"whenBehind":"refuse"},"unknown":{"a":1}}]
 ["inventory",0,[["a:1",0,0,0,"active",1,null,1],["b:1",0,0,0,"active",1,null,0,"extra"]]]
