--- a/src/net/backend/exchange.rs
+++ b/src/net/backend/exchange.rs
@@ -48,7 +48,7 @@
             outcome,
             elapsed: context.reactor.now().saturating_duration_since(self.started_at),
             log_position: reply.log_position,
-            primary: reply.primary,
+            role: reply.role,
             report: reply.report.unwrap_or_default(),
             value: reply.value,
         };
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -1,11 +1,12 @@
 //! The reply of a database host to one query, as far as it has been received.
 
-use crate::interface::{LoadReport, Outcome};
+use crate::interface::{LoadReport, Outcome, Role};
 use crate::load_report;
 use crate::net::buffer::MemoryReservation;
 use crate::net::postgres::message_kind::server as message_kind;
 use crate::net::postgres::{self, sqlstate, Message};
 use crate::net::Task;
+use crate::time::LogPosition;
 
 /// The parameter that holds the commit time of the log position (Unix milliseconds).
 const LOG_POSITION_PARAMETER: &str = "commit_clock";
@@ -13,6 +14,7 @@
 const ROLE_PARAMETER: &str = "server_role";
 const PRIMARY_ROLE: &str = "writer";
 const REPLICA_ROLE: &str = "reader";
+const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// How far the result set of one query has been received. It has exactly one row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -68,10 +70,10 @@
     error_code: Option<String>,
     /// The messages of the result set as they were received; empty for a health check.
     pub value: Vec<u8>,
-    /// The log position that the database host had reached (Unix seconds).
-    pub log_position: Option<f64>,
-    /// Whether the database host says that it is the primary.
-    pub primary: Option<bool>,
+    /// The log position that the database host had reached.
+    pub log_position: Option<LogPosition>,
+    /// The role that the database host says it has.
+    pub role: Option<Role>,
     /// The load report that a health check has asked for, if it could be parsed.
     pub report: Option<LoadReport>,
 }
@@ -113,10 +115,11 @@
     fn add_parameter(&mut self, body: &[u8]) {
         match postgres::parse_parameter_status(body) {
             Some((LOG_POSITION_PARAMETER, value)) => {
-                self.log_position = value.parse::<f64>().ok().map(|millis| millis / 1000.0);
+                let millis = value.parse::<f64>().ok();
+                self.log_position = millis.map(|millis| LogPosition::from_secs(millis / MILLIS_PER_SECOND));
             }
-            Some((ROLE_PARAMETER, PRIMARY_ROLE)) => self.primary = Some(true),
-            Some((ROLE_PARAMETER, REPLICA_ROLE)) => self.primary = Some(false),
+            Some((ROLE_PARAMETER, PRIMARY_ROLE)) => self.role = Some(Role::Primary),
+            Some((ROLE_PARAMETER, REPLICA_ROLE)) => self.role = Some(Role::Replica),
             _ => {}
         }
     }
--- a/src/net/backend/reply/tests.rs
+++ b/src/net/backend/reply/tests.rs
@@ -3,7 +3,6 @@
 use rstest::rstest;
 
 use super::*;
-use crate::interface::Role;
 use crate::net::buffer::MemoryBudget;
 use crate::net::{Attempt, Statement};
 
@@ -67,7 +66,7 @@
     assert_eq!(last, Ok(ReplyStatus::ReadyForQuery));
     assert!(!reply.has_started());
     assert_eq!(reply.outcome(), None);
-    assert_eq!(reply.log_position, Some(1.5));
+    assert_eq!(reply.log_position, Some(LogPosition::from_secs(1.5)));
 }
 
 #[test]
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -159,8 +159,8 @@
     }
 
     /// Stops accepting once no connection waits, and closes each one as soon as all its queries are answered.
-    /// Later queries are rejected with this Retry-After; zero for no advice.
-    pub fn start_draining(&mut self, retry_after: Duration, context: &mut Context) {
+    /// Later queries are rejected with this Retry-After, if any.
+    pub fn start_draining(&mut self, retry_after: Option<Duration>, context: &mut Context) {
         // Connections and queries that have arrived by now are still served.
         self.acceptor.start_closing();
         self.accept(context);
--- a/src/net/frontend/response.rs
+++ b/src/net/frontend/response.rs
@@ -76,10 +76,10 @@
         &mut self,
         code: &str,
         message: &str,
-        retry_after: Duration,
+        retry_after: Option<Duration>,
     ) -> Result<(), ConnectionClosed> {
-        let milliseconds = retry_after.as_nanos().div_ceil(NANOS_PER_MILLISECOND);
-        let detail = (milliseconds > 0).then(|| milliseconds.to_string());
+        let milliseconds = retry_after.map(|duration| duration.as_nanos().div_ceil(NANOS_PER_MILLISECOND));
+        let detail = milliseconds.filter(|milliseconds| *milliseconds > 0).map(|number| number.to_string());
         self.send_error(code, message, detail.as_deref())
     }
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -8,7 +8,8 @@
 use super::postgres::CancelKey;
 use super::reactor::ConnectionId;
 use crate::endpoint_list::ListedEndpoint;
-use crate::interface::{EndpointId, LoadReport, Outcome, RequestId, UpdateKind};
+use crate::interface::{EndpointId, LoadReport, Outcome, RequestId, Role, UpdateKind};
+use crate::time::LogPosition;
 
 /// A statement as the client wrote it.
 #[derive(Debug)]
@@ -82,8 +83,8 @@
     Value(Vec<u8>),
     /// The query was not executed; a retry is harmless.
     Rejected {
-        /// How long the client should wait before it retries; zero for no advice.
-        retry_after: Duration,
+        /// How long the client should wait before it retries; none for no advice.
+        retry_after: Option<Duration>,
     },
     /// No answer was received; the query may have been executed.
     Failed,
@@ -124,10 +125,10 @@
     pub outcome: Outcome,
     /// Time since it was handed to the backend.
     pub elapsed: Duration,
-    /// The log position that came with the answer (Unix seconds on the clock of the database hosts).
-    pub log_position: Option<f64>,
-    /// The role that came with the answer: true from a primary.
-    pub primary: Option<bool>,
+    /// The log position that came with the answer.
+    pub log_position: Option<LogPosition>,
+    /// The role that came with the answer.
+    pub role: Option<Role>,
     /// The load report that came with the answer; empty where none came.
     pub report: LoadReport,
     /// The value for the client, if any.
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -26,7 +26,7 @@
                 }
             }
             Action::Reject { id, retry_after } => {
-                let retry_after = retry_after.map_or(Duration::ZERO, duration_of);
+                let retry_after = retry_after.map(duration_of);
                 self.finish_request(&id, Response::Rejected { retry_after }, context);
             }
             Action::Fail { id } => self.finish_request(&id, Response::Failed, context),
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -2,11 +2,10 @@
 
 use super::request_table::ClientState;
 use super::Pooler;
-use crate::interface::{self, AttemptResult, Outcome, Role};
+use crate::interface::{self, AttemptResult, Outcome};
 use crate::net::messages::InvalidQuery;
 use crate::net::reactor::span_of;
 use crate::net::{Attempt, Completion, Context, Response, Task};
-use crate::time::LogPosition;
 
 impl Pooler {
     /// Reports the end of a task to the policy and answers the client if the end decides its request.
@@ -36,8 +35,8 @@
             outcome,
             request_finished: response.is_some() || client == ClientState::NotWaiting,
             elapsed: span_of(completion.elapsed),
-            log_position: completion.log_position.map(LogPosition::from_secs),
-            role: completion.primary.map(|primary| if primary { Role::Primary } else { Role::Replica }),
+            log_position: completion.log_position,
+            role: completion.role,
             report: completion.report,
         };
         // The policy learns what the answer says of the endpoint before the client can act on the answer.
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -10,7 +10,7 @@
 use crate::net::reactor::{span_of, ConnectionId, Reactor};
 use crate::net::{Context, Query, Response};
 use crate::settings::{Consistency, Idempotency};
-use crate::time::LocalInstant;
+use crate::time::{ClusterInstant, LocalInstant, Span};
 
 /// What the pooler has to know of a request class.
 struct QueryClass {
@@ -80,7 +80,7 @@
             timeout: span_of(query.timeout) - span_of(waited),
             session_token_age: query
                 .session_token
-                .map(|committed_at| reactor.policy_time(now) - LocalInstant::from_secs(committed_at)),
+                .map(|committed_at| reactor.policy_time(now) - local_commit_time(committed_at)),
             session: session.map(Into::into),
             tenant: self.tenant(&query.tenant),
             predicted_work: None,
@@ -88,6 +88,12 @@
     }
 }
 
+/// The time of a commit (Unix seconds on the database hosts' clock) as if both clocks agreed. The policy takes
+/// the commit's age and converts it back in the same way.
+fn local_commit_time(committed_at: f64) -> LocalInstant {
+    ClusterInstant::from_secs(committed_at).to_local(Span::ZERO)
+}
+
 impl Pooler {
     /// Passes a client's query to the policy, or rejects it if it is invalid.
     pub(super) fn on_query(
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -55,14 +55,15 @@
 pub(super) struct GracefulShutdown {
     phase: Phase,
     longest_deadline: Duration,
-    retry_after: Duration,
+    /// None for no advice.
+    retry_after: Option<Duration>,
 }
 
 impl GracefulShutdown {
     /// Creates the state before a shutdown is requested. `longest_deadline` is that of all classes of requests,
     /// and `max_retry_after` the longest Retry-After that the settings allow; none without such advice.
     pub fn new(longest_deadline: Duration, max_retry_after: Option<Duration>) -> GracefulShutdown {
-        let retry_after = max_retry_after.map_or(Duration::ZERO, |longest| longest.min(RETRY_AFTER));
+        let retry_after = max_retry_after.map(|longest| longest.min(RETRY_AFTER));
         GracefulShutdown { phase: Phase::Running, longest_deadline, retry_after }
     }
 
@@ -84,8 +85,8 @@
     }
 
     /// Starts to drain the client connections. Returns the Retry-After of queries that are rejected from now
-    /// on; zero for no advice.
-    pub fn start_draining(&mut self) -> Duration {
+    /// on; none for no advice.
+    pub fn start_draining(&mut self) -> Option<Duration> {
         self.phase = Phase::Draining;
         self.retry_after
     }
@@ -105,12 +106,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     started_at: Instant,
-    retry_after: Duration,
+    /// None for no advice.
+    retry_after: Option<Duration>,
 }
 
 impl Drain {
-    /// Draining that starts at an instant. `retry_after` is that of rejected queries; zero for no advice.
-    pub fn new(started_at: Instant, retry_after: Duration) -> Drain {
+    /// Draining that starts at an instant. `retry_after` is that of rejected queries; none for no advice.
+    pub fn new(started_at: Instant, retry_after: Option<Duration>) -> Drain {
         Drain { started_at, retry_after }
     }
 
@@ -120,8 +122,8 @@
         received_at > self.started_at
     }
 
-    /// Returns the Retry-After of rejected queries; zero for no advice.
-    pub fn retry_after(&self) -> Duration {
+    /// Returns the Retry-After of rejected queries; none for no advice.
+    pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
 }
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -5,7 +5,7 @@
 
 const LONGEST_DEADLINE: Duration = Duration::from_secs(8);
 
-fn draining_with(max_retry_after: Option<Duration>) -> Duration {
+fn draining_with(max_retry_after: Option<Duration>) -> Option<Duration> {
     GracefulShutdown::new(LONGEST_DEADLINE, max_retry_after).start_draining()
 }
 
@@ -33,17 +33,17 @@
 }
 
 #[rstest]
-#[case::not_allowed(None, Duration::ZERO)]
-#[case::shorter(Some(Duration::from_millis(20)), Duration::from_millis(20))]
-#[case::longer(Some(Duration::from_secs(1)), RETRY_AFTER)]
-fn the_settings_limit_the_retry_after(#[case] longest: Option<Duration>, #[case] expected: Duration) {
+#[case::not_allowed(None, None)]
+#[case::shorter(Some(Duration::from_millis(20)), Some(Duration::from_millis(20)))]
+#[case::longer(Some(Duration::from_secs(1)), Some(RETRY_AFTER))]
+fn the_settings_limit_the_retry_after(#[case] longest: Option<Duration>, #[case] expected: Option<Duration>) {
     assert_eq!(draining_with(longest), expected);
 }
 
 #[test]
 fn only_queries_received_after_the_start_of_draining_are_rejected() {
     let started_at = Instant::now();
-    let drain = Drain::new(started_at, RETRY_AFTER);
+    let drain = Drain::new(started_at, None);
     assert!(!drain.rejects(started_at));
     assert!(drain.rejects(started_at + Duration::from_nanos(1)));
 }
