--- a/src/net/buffer/ring_buffer.rs
+++ b/src/net/buffer/ring_buffer.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Reserves `bytes` on the budget of this buffer, for data that is taken out of it and kept.
+    /// Reserves `bytes` on the budget of this buffer, for data that is used after it was taken out of the buffer.
     pub fn reserve_memory(&self, bytes: usize) -> Result<MemoryReservation, CapacityExceeded> {
         self.reservation.reserve_separately(bytes)
     }
@@ -110,7 +110,11 @@
         Ok(true)
     }
 
-    /// Appends `bytes`. On error, the buffer is unchanged.
+    /// Appends `bytes`.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the buffer or its budget has no capacity for all of them. The buffer is unchanged then.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), CapacityExceeded> {
         if bytes.is_empty() {
             return Ok(());
@@ -157,7 +161,7 @@
         self.free_if_empty();
     }
 
-    /// Makes room for `additional` bytes.
+    /// Grows the buffer where it has no capacity for `additional` bytes.
     fn reserve(&mut self, additional: usize) -> Result<(), CapacityExceeded> {
         let needed = self.len + additional;
         if needed > MAX_BUFFER_SIZE {
@@ -193,7 +197,7 @@
     }
 
     /// Returns the free range of `storage` from the tail up to the head or the end of the allocation. The
-    /// buffer must have room.
+    /// buffer must not be full.
     fn first_free_range(&self) -> Range<usize> {
         let tail = self.tail();
         let end = if tail < self.head { self.head } else { self.storage.len() };
--- a/src/net/discovery/list_splitter.rs
+++ b/src/net/discovery/list_splitter.rs
@@ -3,7 +3,7 @@
 use super::error::WatchError;
 use crate::json::MAX_DEPTH;
 
-/// Longest text of an endpoint list (bytes). An indented list of 3,200 hosts takes more than a megabyte.
+/// Longest text of an endpoint list (bytes). An indented list of 3,200 endpoints takes more than a megabyte.
 pub(super) const MAX_LIST_LENGTH: usize = 2 * 1024 * 1024;
 
 /// A complete message that was received over a watch.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,4 +1,9 @@
-//! Service discovery: follows the list of database hosts over HTTP/1.1.
+//! Service discovery: watches the endpoint list over HTTP/1.1.
+//!
+//! - [`watch`]: one request and its timeouts.
+//! - [`http_response`]: removes the HTTP framing from the response.
+//! - [`list_splitter`]: splits the body of the response into lists and heartbeats.
+//! - [`error`]: why a watch is closed.
 
 mod error;
 mod http_response;
@@ -8,10 +13,9 @@
 use std::net::SocketAddr;
 
 use mio::net::TcpStream;
-use mio::Interest;
 
 use super::buffer::MemoryBudget;
-use super::reactor::{ConnectionId, ConnectionTable, EventSource, TimerEvent};
+use super::reactor::{ConnectionId, ConnectionTable, TimerEvent};
 use super::{Context, Event};
 use crate::endpoint_list::EndpointList;
 use crate::interface::UpdateKind;
@@ -24,55 +28,62 @@
 pub(crate) struct Discovery {
     address: SocketAddr,
     watches: ConnectionTable<Watch>,
-    current: Option<ConnectionId>,
+    current_watch: Option<ConnectionId>,
     budget: MemoryBudget,
     /// The version of the list that was last received.
-    index: u64,
+    list_version: u64,
     /// The error since which nothing was received. An error is logged when it differs from the one before it.
     last_error: Option<WatchError>,
 }
 
 impl Discovery {
-    /// Has no watch yet; the first one asks for the changes since version `index` of the list.
-    pub fn new(address: SocketAddr, index: u64, budget: MemoryBudget) -> Discovery {
-        Discovery { address, watches: ConnectionTable::new(), current: None, budget, index, last_error: None }
+    /// Has no watch yet; the first one requests the changes since version `list_version` of the list.
+    pub fn new(address: SocketAddr, list_version: u64, budget: MemoryBudget) -> Discovery {
+        Discovery {
+            address,
+            watches: ConnectionTable::new(),
+            current_watch: None,
+            budget,
+            list_version,
+            last_error: None,
+        }
     }
 
     /// Replaces the watch by one at another address. Does nothing where the address is the same.
-    pub fn move_to(&mut self, address: SocketAddr, context: &mut Context) {
+    pub fn set_address(&mut self, address: SocketAddr, context: &mut Context) {
         if std::mem::replace(&mut self.address, address) != address {
             // The versions of one service mean nothing to another: the complete list is needed.
-            self.index = 0;
-            self.listen(context);
+            self.list_version = 0;
+            self.open_watch(context);
         }
     }
 
     /// Opens a watch, in place of one that may still be open.
-    pub fn listen(&mut self, context: &mut Context) {
+    pub fn open_watch(&mut self, context: &mut Context) {
         self.close_current();
-        if self.open(context).is_err() {
+        if self.try_open_watch(context).is_err() {
             self.fail(WatchError::NotConnected, context);
         }
     }
 
-    fn open(&mut self, context: &mut Context) -> Result<(), WatchError> {
+    fn try_open_watch(&mut self, context: &mut Context) -> Result<(), WatchError> {
         let stream = TcpStream::connect(self.address).map_err(|_| WatchError::NotConnected)?;
         let now = context.reactor.now();
-        let timeouts = WatchTimeouts::new(self.last_error.is_some());
+        let timeouts = match self.last_error {
+            None => WatchTimeouts::regular(),
+            Some(_) => WatchTimeouts::after_failure(),
+        };
         let id = self.watches.insert(Watch::new(stream, &self.budget, timeouts, now));
-        self.current = Some(id);
+        self.current_watch = Some(id);
         let watch = self.watches.get_mut(id).ok_or(WatchError::NotConnected)?;
-        watch.request_changes(self.index, self.address).map_err(|_| WatchError::NotConnected)?;
-        let interest = Interest::READABLE | Interest::WRITABLE;
-        let source = EventSource::Discovery(id);
-        let registered = context.reactor.register(&mut watch.stream, source, interest);
-        registered.map_err(|_| WatchError::NotConnected)?;
-        context.reactor.set_timer(now + timeouts.head, TimerEvent::Discovery(id));
+        watch.request_changes(self.list_version, self.address).map_err(|_| WatchError::NotConnected)?;
+        watch.register(id, &mut context.reactor).map_err(|_| WatchError::NotConnected)?;
+        context.reactor.set_timer(watch.deadline(), TimerEvent::Discovery(id));
         Ok(())
     }
 
     fn close_current(&mut self) {
-        if let Some(id) = self.current.take() {
+        if let Some(id) = self.current_watch.take() {
             self.watches.remove(id);
         }
     }
@@ -117,15 +128,14 @@
 
     fn apply_list(&mut self, list: EndpointList, id: ConnectionId, context: &mut Context) {
         self.mark_answered(id);
-        self.index = list.index;
+        self.list_version = list.index;
         let kind = if list.snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta };
         context.events.push_back(Event::EndpointsUpdated(kind, list.endpoints));
     }
 
     /// Marks the watch as answered, and returns whether it was already.
     fn mark_answered(&mut self, id: ConnectionId) -> bool {
-        let Some(watch) = self.watches.get_mut(id) else { return true };
-        std::mem::replace(&mut watch.answered, true)
+        self.watches.get_mut(id).is_none_or(Watch::mark_answered)
     }
 
     /// Closes the watch if nothing was received for too long. The connection may be cut off and look open.
@@ -142,8 +152,8 @@
     }
 }
 
-/// Decodes a list. A list with an entry that cannot be read is rejected as a whole: without the entry, a
-/// snapshot would say that the endpoint was removed.
+/// Decodes a list. A list with an entry that cannot be read is rejected: without the entry, a snapshot
+/// would say that the endpoint was removed.
 fn decode_list(text: &[u8]) -> Option<EndpointList> {
     let text = std::str::from_utf8(text).ok()?;
     let value = json::parse(text).ok()?;
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -91,7 +91,7 @@
     assert_eq!(parse(&text, 1).1, Err(error));
 }
 
-/// The longest list that a fleet of hosts may have, with an indentation of eight spaces.
+/// The longest list that a fleet of endpoints may have, with an indentation of eight spaces.
 #[test]
 fn an_indented_list_of_the_largest_fleet_is_read() {
     const MAX_HOSTS: usize = 3200;
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,14 +1,17 @@
 //! One watch on the endpoint list: an HTTP request whose response does not end.
 
+use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
+use mio::Interest;
 
 use super::error::WatchError;
 use super::http_response::ResponseParser;
 use super::list_splitter::{ListSplitter, Update};
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, ReadStatus, RingBuffer};
+use crate::net::reactor::{ConnectionId, EventSource, Reactor};
 
 const PATH: &str = "/catalog/members";
 
@@ -29,28 +32,35 @@
 #[derive(Clone, Copy)]
 pub(super) struct WatchTimeouts {
     /// Until the response begins.
-    pub head: Duration,
+    head: Duration,
     /// Until a list that has begun is complete.
     list: Duration,
 }
 
 impl WatchTimeouts {
-    /// The timeouts of a watch that follows a failed one, or not.
-    pub fn new(follows_failure: bool) -> WatchTimeouts {
-        let factor = if follows_failure { RETRY_TIMEOUT_FACTOR } else { 1.0 };
-        WatchTimeouts { head: RESPONSE_HEAD_TIMEOUT.mul_f64(factor), list: LIST_TIMEOUT.mul_f64(factor) }
+    /// The timeouts of a watch that follows no failed one.
+    pub fn regular() -> WatchTimeouts {
+        WatchTimeouts { head: RESPONSE_HEAD_TIMEOUT, list: LIST_TIMEOUT }
+    }
+
+    /// The timeouts of a watch that follows a failed one.
+    pub fn after_failure() -> WatchTimeouts {
+        WatchTimeouts {
+            head: RESPONSE_HEAD_TIMEOUT.mul_f64(RETRY_TIMEOUT_FACTOR),
+            list: LIST_TIMEOUT.mul_f64(RETRY_TIMEOUT_FACTOR),
+        }
     }
 }
 
 /// The connection of a watch.
 pub(super) struct Watch {
-    pub stream: TcpStream,
+    stream: TcpStream,
     input: RingBuffer,
     output: RingBuffer,
     response: ResponseParser,
     splitter: ListSplitter,
     /// Whether a list or a heartbeat has been received.
-    pub answered: bool,
+    answered: bool,
     /// When anything was last received, or the watch was opened.
     last_received_at: Instant,
     /// When the list began that is not complete yet.
@@ -74,10 +84,21 @@
         }
     }
 
-    /// Puts the request for all changes since version `index` of the list into the output buffer.
-    pub fn request_changes(&mut self, index: u64, host: SocketAddr) -> Result<(), CapacityExceeded> {
+    /// Has the events of the socket reported.
+    pub fn register(&mut self, id: ConnectionId, reactor: &mut Reactor) -> io::Result<()> {
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        reactor.register(&mut self.stream, EventSource::Discovery(id), interest)
+    }
+
+    /// Marks the watch as answered, and returns whether it was already.
+    pub fn mark_answered(&mut self) -> bool {
+        std::mem::replace(&mut self.answered, true)
+    }
+
+    /// Puts the request for all changes since version `list_version` into the output buffer.
+    pub fn request_changes(&mut self, list_version: u64, host: SocketAddr) -> Result<(), CapacityExceeded> {
         let request = format!(
-            "GET {PATH}?follow=1&since={index} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
+            "GET {PATH}?follow=1&since={list_version} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
         );
         self.output.push(request.as_bytes())
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -71,15 +71,15 @@
     /// Another request of the same identifier is in progress.
     #[error("this id is in use")]
     DuplicateId,
-    /// A database host rejected the statement, as any other host would.
+    /// An endpoint rejected the statement, as any other would.
     #[error("no database host takes this statement")]
-    RejectedByHost,
+    RejectedByEndpoint,
 }
 
 /// The final answer to a query.
 #[derive(Debug)]
 pub(crate) enum Response {
-    /// The value, in the form in which the database host sent it.
+    /// The value, in the form in which the endpoint sent it.
     Value(Vec<u8>),
     /// The query was not executed; a retry is harmless.
     Rejected {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,15 @@
-//! The network side of the pooler: sockets, wire protocols and timers. It moves bytes and keeps connections;
-//! [`Policy`](crate::Policy) decides what is sent where.
+//! The network side of the pooler: sockets, wire protocols and timers. [`Policy`](crate::Policy) decides what is
+//! sent where.
+//!
+//! - [`reactor`]: the event loop, the timers and the clock.
+//! - [`frontend`]: the connections of clients.
+//! - [`backend`]: the connections to endpoints.
+//! - [`discovery`]: the watch of the endpoint list.
+//! - [`pooler`]: passes the events of these to the policy and executes its actions.
+//! - [`shutdown`]: what happens between SIGTERM and the kill.
+//! - [`messages`]: the messages between these modules.
+//! - [`postgres`]: PostgreSQL's messages.
+//! - [`buffer`]: the buffers of the connections and their memory budget.
 
 mod backend;
 mod buffer;
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -36,7 +36,7 @@
             }
             Action::HealthCheck { endpoint } => self.send_health_check(&endpoint, context),
             Action::CloseIdleConnections { endpoint } => self.backend.close_idle_connections(&endpoint),
-            Action::Watch => self.discovery.listen(context),
+            Action::Watch => self.discovery.open_watch(context),
             Action::Log(change) => log_state_change(&change),
         }
     }
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -53,7 +53,7 @@
 fn final_response(outcome: Outcome, value: Vec<u8>) -> Option<Response> {
     match outcome {
         Outcome::Success => Some(Response::Value(value)),
-        Outcome::InvalidRequest => Some(Response::Invalid(InvalidQuery::RejectedByHost)),
+        Outcome::InvalidRequest => Some(Response::Invalid(InvalidQuery::RejectedByEndpoint)),
         _ => None,
     }
 }
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -1,7 +1,6 @@
-//! Connects the [`Policy`] to the sockets.
-//!
-//! The connections report [`Event`]s. The pooler translates them for the policy and executes the actions that
-//! the policy returns. The policy takes every decision except those that the limits of the process force.
+//! Connects the [`Policy`] to the sockets: translates the [`Event`]s of the connections for the policy and
+//! executes the actions that it returns. The policy takes every decision except those that the limits of the
+//! process force.
 
 mod actions;
 mod completions;
@@ -136,7 +135,7 @@
         self.process_events(context);
     }
 
-    fn finished(&self) -> bool {
+    fn is_finished(&self) -> bool {
         self.shutdown.is_draining() && self.frontend.is_finished()
     }
 }
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -117,7 +117,7 @@
     /// The number of the class of a valid query.
     fn validate(&self, query: &Query) -> Result<usize, InvalidQuery> {
         let class = self.queries.class_of(query)?;
-        // Two requests of one identifier could not be told apart, and a database host would see a duplicate.
+        // Two requests of one identifier could not be distinguished, and an endpoint would see a duplicate.
         if self.requests.contains(&query.id) {
             return Err(InvalidQuery::DuplicateId);
         }
--- a/src/net/pooler/reload.rs
+++ b/src/net/pooler/reload.rs
@@ -26,10 +26,6 @@
     }
 
     /// Reads the file. Once that has succeeded, no retry is due any more.
-    ///
-    /// # Errors
-    ///
-    /// Fails where the file cannot be read or is not a valid configuration.
     fn load(&mut self) -> Result<Config, ConfigError> {
         let config = Config::load(&self.path)?;
         self.retries_left = 0;
@@ -79,7 +75,7 @@
         let config = self.reload.load()?;
         context.counters.reloads += 1;
         tracing::info!(discovery = %config.discovery, "configuration reloaded");
-        self.discovery.move_to(config.discovery, context);
+        self.discovery.set_address(config.discovery, context);
         Ok(())
     }
 }
--- a/src/net/pooler/request_table/mod.rs
+++ b/src/net/pooler/request_table/mod.rs
@@ -53,10 +53,8 @@
     NotWaiting,
 }
 
-/// All requests in progress, by their identifier and by the client that waits for them.
-///
-/// A request stays in the table until its client has its answer or has disconnected and no attempt of it is
-/// in flight.
+/// All requests in progress, by their identifier and by the client that waits for them. A request stays until
+/// its client has its answer or has disconnected, and no attempt of it is in flight.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, ForwardedRequest>,
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -47,7 +47,7 @@
 }
 
 impl ServeError {
-    /// Whether the start may succeed soon.
+    /// Whether a retry of the start may succeed.
     fn is_transient(&self) -> bool {
         matches!(self, ServeError::Io(error) if is_transient(error))
     }
@@ -56,11 +56,11 @@
 /// How many connections each side may hold.
 struct ConnectionLimits {
     clients: usize,
-    hosts: usize,
+    backend: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the configured number of file descriptors between clients and database hosts. A client has at
+    /// Divides the configured number of file descriptors between clients and endpoints. A client has at
     /// most one attempt in flight, so both sides get half of them.
     fn new(descriptors: usize) -> Result<ConnectionLimits, ServeError> {
         let sockets = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
@@ -68,7 +68,7 @@
         if clients == 0 {
             return Err(ServeError::TooFewSockets);
         }
-        Ok(ConnectionLimits { clients, hosts: sockets - clients })
+        Ok(ConnectionLimits { clients, backend: sockets - clients })
     }
 }
 
@@ -117,7 +117,7 @@
         let mut pooler = Pooler {
             policy,
             frontend,
-            backend: Backend::new(limits.hosts, budget.clone(), keepalive, connect_timeout),
+            backend: Backend::new(limits.backend, budget.clone(), keepalive, connect_timeout),
             discovery: Discovery::new(config.discovery, config.known.index, budget),
             signals,
             requests: RequestTable::default(),
--- a/src/net/reactor/clock.rs
+++ b/src/net/reactor/clock.rs
@@ -7,15 +7,13 @@
 /// The longest duration that is counted. Adding it to the present cannot overflow an [`Instant`].
 const MAX_DURATION: Duration = Duration::from_secs(100 * 365 * 24 * 60 * 60);
 
-/// Converts between the instants of the event loop and the policy's time.
-///
-/// The policy counts in seconds since the Unix epoch. The system clock is read at the start only and the time
-/// is monotonic from then on, so that setting the system clock neither delays nor fires a timer.
+/// Converts between the instants of the event loop and the policy's time. The system clock is read at the start
+/// only, so that setting it neither delays nor fires a timer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
-    started: Instant,
-    /// The system clock at `started`.
-    started_at: LocalInstant,
+    started_at: Instant,
+    /// The system clock at `started_at`.
+    system_time_at_start: LocalInstant,
 }
 
 impl Clock {
@@ -25,20 +23,20 @@
         Clock::new(Instant::now(), LocalInstant::from_secs(since_epoch.as_secs_f64()))
     }
 
-    /// Creates a clock that started at an instant when the system clock stood at `started_at`.
-    pub fn new(started: Instant, started_at: LocalInstant) -> Clock {
-        Clock { started, started_at }
+    /// Creates a clock that started at an instant, with the time that the system clock showed then.
+    pub fn new(started_at: Instant, system_time_at_start: LocalInstant) -> Clock {
+        Clock { started_at, system_time_at_start }
     }
 
     /// Returns the policy's time at an instant. An instant before the start counts as the start.
     pub fn policy_time(&self, instant: Instant) -> LocalInstant {
-        self.started_at + span_of(instant.saturating_duration_since(self.started))
+        self.system_time_at_start + span_of(instant.saturating_duration_since(self.started_at))
     }
 
-    /// Returns the instant of a policy's time. A time before the start counts as the start,
-    /// and one that is too late for an instant as a hundred years later.
+    /// Returns the instant of a policy's time. A time before the start counts as the start, and one that is
+    /// too late for an instant as a hundred years later.
     pub fn instant_of(&self, policy_time: LocalInstant) -> Instant {
-        self.started + duration_of(policy_time - self.started_at)
+        self.started_at + duration_of(policy_time - self.system_time_at_start)
     }
 }
 
--- a/src/net/reactor/connection_table.rs
+++ b/src/net/reactor/connection_table.rs
@@ -8,10 +8,8 @@
 /// The largest generation. The one after it is 0 again.
 pub(super) const MAX_GENERATION: u32 = (1 << GENERATION_BITS) - 1;
 
-/// Identifies one connection in a [`ConnectionTable`].
-///
-/// Slots are reused, so an id also has the generation of its connection. An event that arrives after the
-/// connection was removed therefore does not reach the next connection in the slot.
+/// Identifies one connection in a [`ConnectionTable`]. Slots are reused: the generation keeps an event that
+/// arrives after the connection was removed from the next connection in the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ConnectionId {
     pub(super) index: u32,
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -37,6 +37,10 @@
 
 impl Reactor {
     /// Creates a reactor whose registry belongs to `poll`.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the system has no file descriptor left.
     pub fn new(poll: &Poll) -> io::Result<Reactor> {
         Ok(Reactor {
             registry: poll.registry().try_clone()?,
@@ -47,11 +51,15 @@
         })
     }
 
-    /// Has the events of a source reported.
+    /// Has the events of a socket or of the signals reported under the name `source`.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the system has no memory for the registration.
     pub fn register(
         &mut self,
-        source: &mut impl Source,
-        name: EventSource,
+        socket: &mut impl Source,
+        source: EventSource,
         interest: Interest,
     ) -> io::Result<()> {
         #[cfg(test)]
@@ -59,7 +67,7 @@
             self.failing_registrations -= 1;
             return Err(ErrorKind::OutOfMemory.into());
         }
-        self.registry.register(source, name.into(), interest)
+        self.registry.register(socket, source.into(), interest)
     }
 
     /// Returns the present time of the monotonic clock. Each call reads the clock anew.
@@ -106,14 +114,18 @@
     fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context);
     /// Called when a timer has expired.
     fn timer_expired(&mut self, event: TimerEvent, context: &mut Context);
-    /// Returns whether the loop shall end.
-    fn finished(&self) -> bool;
+    /// Returns whether the loop is to end.
+    fn is_finished(&self) -> bool;
 }
 
 /// Runs the event loop until the handler has finished.
+///
+/// # Errors
+///
+/// Fails where the system cannot wait for events.
 pub(crate) fn run(poll: &mut Poll, handler: &mut impl Handler, context: &mut Context) -> io::Result<()> {
     let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
-    while !handler.finished() {
+    while !handler.is_finished() {
         match poll.poll(&mut events, context.reactor.poll_timeout()) {
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
             result => result?,
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -10,7 +10,7 @@
 //! | while draining | A query that is received now is rejected, with [`RETRY_AFTER`] at most. (3) | [`Drain::rejects`] |
 //! | [`KILL_MARGIN`] before the earliest kill, then every [`BLOCKING_REQUEST_INTERVAL`] | Each request behind which other queries of its connection wait gets its final answer. (4) | `Pooler::end_blocking_requests` |
 //! | the longest deadline, at most [`MAX_COUNTED_DEADLINE`], and [`KILL_DELAY`] | The earliest kill. | [`GracefulShutdown::earliest_kill`] |
-//! | the last client connection is closed while draining | The process ends. Attempts that no client waits for are dropped. | `Pooler::finished` |
+//! | the last client connection is closed while draining | The process ends. Attempts that no client waits for are dropped. | `Pooler::is_finished` |
 //!
 //! 1. Clients connect and send queries until they learn of the shutdown.
 //! 2. Closing the listener earlier would reset the waiting connections, with the queries sent on them.
