--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -1,17 +1,20 @@
-//! One connection to a database host: connects, starts the session, sends queries and reads their replies.
+//! One connection to an endpoint: connects, starts the session, sends queries and reads their replies.
 
+use std::io;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
+use mio::Interest;
 
 use super::exchange::Exchange;
 use super::reply::{Reply, ReplyError, ReplyStatus};
-use super::state::{Expiry, State};
+use super::state::{Expiry, State, WriteStatus};
 use crate::interface::{EndpointId, Outcome};
 use crate::net::buffer::{MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
 use crate::net::postgres::message_kind::server as message_kind;
 use crate::net::postgres::{self, sqlstate, Message};
+use crate::net::reactor::{ConnectionId, EventSource, Reactor};
 
 /// The user and the database that the startup message names.
 const USER: &str = "app";
@@ -19,8 +22,8 @@
 /// The body of an Authentication message that asks for nothing more.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
-/// How long a query may wait in the output buffer. It says how much time its client has left, and
-/// hosts may be told at most 0.15 s more than that.
+/// How long a query may wait in the output buffer. It states how much time its client has left, which may be at
+/// most 0.15 s too much when the endpoint receives it.
 const QUERY_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How far an exchange has come.
@@ -44,16 +47,14 @@
     Failed,
 }
 
-/// A connection to a database host.
+/// A connection to an endpoint.
 pub(super) struct Connection {
-    /// The database host.
-    pub endpoint: EndpointId,
-    /// The address of the database host when the connection was opened.
-    pub address: SocketAddr,
-    /// The socket.
-    pub stream: TcpStream,
+    endpoint: EndpointId,
+    /// The address of the endpoint when the connection was opened.
+    address: SocketAddr,
+    stream: TcpStream,
     /// When the present state has lasted too long.
-    pub state_deadline: Instant,
+    state_deadline: Instant,
     state: State,
     input: RingBuffer,
     output: RingBuffer,
@@ -75,7 +76,7 @@
             endpoint,
             address,
             stream,
-            state_deadline: (exchange.started_at + connect_timeout).min(exchange.deadline),
+            state_deadline: (exchange.started_at() + connect_timeout).min(exchange.deadline()),
             state: State::Connecting(exchange),
             input: RingBuffer::new(budget),
             output: RingBuffer::new(budget),
@@ -83,6 +84,27 @@
         }
     }
 
+    /// Has the events of the socket reported.
+    pub fn register(&mut self, id: ConnectionId, reactor: &mut Reactor) -> io::Result<()> {
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        reactor.register(&mut self.stream, EventSource::Backend(id), interest)
+    }
+
+    /// The endpoint.
+    pub fn endpoint(&self) -> &EndpointId {
+        &self.endpoint
+    }
+
+    /// The address of the endpoint when the connection was opened.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// When the present state has lasted too long.
+    pub fn state_deadline(&self) -> Instant {
+        self.state_deadline
+    }
+
     /// Whether the connection waits for an exchange.
     pub fn is_idle(&self) -> bool {
         self.state.is_idle()
@@ -92,7 +114,7 @@
     pub fn has_unsent_query(&self) -> bool {
         match self.state {
             State::Connecting(_) | State::Starting(_) => true,
-            State::Busy { .. } => !self.is_output_sent(),
+            State::Busy { .. } => self.write_status() == WriteStatus::Pending,
             State::Idle => false,
         }
     }
@@ -152,7 +174,7 @@
 
     /// Ends the exchange because the present state has lasted too long.
     pub fn expire(&mut self, now: Instant, connect_timeout: Duration) -> Progress {
-        match self.state.expiry(now, connect_timeout, self.is_output_sent()) {
+        match self.state.expiry(now, connect_timeout, self.write_status()) {
             Expiry::ReplyStalled => self.reject_malformed(),
             Expiry::Failed(outcome) => Progress::Failed(outcome),
         }
@@ -195,14 +217,14 @@
     /// Writes as much as possible. A query that was not written in time must not be written any more. Once
     /// one is written, its exchange has all its time.
     fn write_output(&mut self, now: Instant) -> Result<(), Progress> {
-        let is_query_waiting = self.state.is_busy() && !self.is_output_sent();
+        let is_query_waiting = self.state.is_busy() && self.write_status() == WriteStatus::Pending;
         if is_query_waiting && now >= self.state_deadline {
             return Err(Progress::Failed(Outcome::ConnectFailed));
         }
         self.output.write_to(&mut self.stream).map_err(|_| self.connection_lost())?;
         if let State::Busy { exchange, response_started: false, .. } = &self.state {
-            if is_query_waiting && self.is_output_sent() {
-                self.state_deadline = exchange.deadline;
+            if is_query_waiting && self.write_status() == WriteStatus::Written {
+                self.state_deadline = exchange.deadline();
             }
         }
         Ok(())
@@ -231,9 +253,9 @@
     /// Queues the query of an exchange. Fails without sending any of it if its time is over or memory is
     /// short.
     fn send_query(&mut self, exchange: Exchange, now: Instant) -> Progress {
-        let is_expired = now >= exchange.deadline;
+        let is_expired = now >= exchange.deadline();
         let query = exchange.query_message(now);
-        self.state_deadline = exchange.deadline.min(now + QUERY_WRITE_TIMEOUT);
+        self.state_deadline = exchange.deadline().min(now + QUERY_WRITE_TIMEOUT);
         self.state = State::busy(exchange);
         if is_expired {
             return Progress::Failed(Outcome::NotSent);
@@ -270,7 +292,7 @@
             State::Idle if message.kind == message_kind::PARAMETER_STATUS => Progress::Pending,
             State::Idle => self.reject_malformed(),
             State::Busy { exchange, reply, .. } => {
-                match reply.add_message(message, &exchange.task, &mut self.value_memory) {
+                match reply.add_message(message, exchange.task(), &mut self.value_memory) {
                     Ok(ReplyStatus::Incomplete) => Progress::Pending,
                     Ok(ReplyStatus::ReadyForQuery) => Progress::Done,
                     Ok(ReplyStatus::FatalError) => self.connection_lost(),
@@ -297,7 +319,7 @@
 
     /// Ends the exchange because the connection has ended.
     fn connection_lost(&self) -> Progress {
-        Progress::Failed(self.state.outcome_of_lost_connection(self.is_output_sent()))
+        Progress::Failed(self.state.outcome_of_lost_connection(self.write_status()))
     }
 
     /// Ends the exchange because the peer sent data that belongs to no valid reply.
@@ -305,12 +327,16 @@
         Progress::Malformed(self.state.discard_malformed_reply())
     }
 
-    fn is_output_sent(&self) -> bool {
-        self.output.is_empty()
+    fn write_status(&self) -> WriteStatus {
+        if self.output.is_empty() {
+            WriteStatus::Written
+        } else {
+            WriteStatus::Pending
+        }
     }
 }
 
-/// The outcome of an exchange whose session the database host has refused to start.
+/// The outcome of an exchange whose session the endpoint has refused to start.
 fn startup_error_outcome(body: &[u8]) -> Outcome {
     let (code, _) = postgres::parse_error_response(body);
     if code == sqlstate::TOO_MANY_CONNECTIONS {
--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -11,7 +11,7 @@
 const SOCKET_BUFFER: usize = 4096;
 /// Far more than fits into the buffers of both sockets.
 const STATEMENT_LENGTH: usize = 150_000;
-/// How much longer a host may be told to wait than its client does.
+/// By how much the time that an endpoint is given may exceed the time that its client still waits.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
 fn long_read(started_at: Instant) -> Exchange {
@@ -21,7 +21,7 @@
     Exchange::new(Task::Attempt(attempt), started_at, TIMEOUT)
 }
 
-/// A connection whose session is started at an instant, to a host that reads nothing more.
+/// A connection whose session is started at an instant, to an endpoint that reads nothing more.
 fn connection_with_waiting_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&listener).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
@@ -31,36 +31,36 @@
     let budget = MemoryBudget::new(1_000_000);
     let mut connection =
         Connection::new("db-1".into(), address, stream, long_read(started_at), CONNECT_TIMEOUT, &budget);
-    let (mut host, _) = listener.accept().unwrap();
+    let (mut endpoint, _) = listener.accept().unwrap();
     while !connection.state.is_starting() {
         assert_eq!(connection.poll(started_at, CONNECT_TIMEOUT), Progress::Pending);
     }
     let startup_length = postgres::startup_message(USER, DATABASE).len();
-    host.read_exact(&mut vec![0; startup_length]).unwrap();
-    host.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").unwrap();
+    endpoint.read_exact(&mut vec![0; startup_length]).unwrap();
+    endpoint.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").unwrap();
     while connection.state.is_starting() {
         assert_eq!(connection.poll(started_at, CONNECT_TIMEOUT), Progress::Pending);
     }
     assert!(!connection.has_empty_buffers(), "the query does not fit into the socket");
-    (connection, host)
+    (connection, endpoint)
 }
 
-/// A query says how long its client waits. Once it waited in the buffer for as long as its client did, and
-/// told the host a time that was over.
+/// A query states how long its client waits. Once it waited in the buffer for as long as its client did, and the
+/// endpoint received a time that was over.
 #[test]
 fn a_query_that_waits_to_be_written_is_given_up_before_its_deadline_is_wrong() {
     let started_at = Instant::now();
-    let (mut connection, _host) = connection_with_waiting_query(started_at);
+    let (mut connection, _endpoint) = connection_with_waiting_query(started_at);
     assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "it waits for too long");
     let expired = connection.expire(started_at + DEADLINE_SLACK, CONNECT_TIMEOUT);
     assert_eq!(expired, Progress::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
-fn a_query_that_has_waited_too_long_is_not_written_when_the_host_reads_again() {
+fn a_query_that_has_waited_too_long_is_not_written_when_the_endpoint_reads_again() {
     let started_at = Instant::now();
-    let (mut connection, mut host) = connection_with_waiting_query(started_at);
-    std::thread::spawn(move || host.read_to_end(&mut Vec::new()));
+    let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
+    std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     let late = started_at + 2 * DEADLINE_SLACK;
     assert_eq!(connection.poll(late, CONNECT_TIMEOUT), Progress::Failed(Outcome::ConnectFailed));
 }
@@ -68,8 +68,8 @@
 #[test]
 fn a_query_that_is_written_has_all_its_time() {
     let started_at = Instant::now();
-    let (mut connection, mut host) = connection_with_waiting_query(started_at);
-    std::thread::spawn(move || host.read_to_end(&mut Vec::new()));
+    let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
+    std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     while !connection.has_empty_buffers() {
         assert_eq!(connection.poll(started_at, CONNECT_TIMEOUT), Progress::Pending);
     }
--- a/src/net/backend/exchange.rs
+++ b/src/net/backend/exchange.rs
@@ -5,19 +5,16 @@
 use super::reply::Reply;
 use crate::interface::{EndpointId, Outcome};
 use crate::net::postgres;
-use crate::net::{Completion, Context, Event, Task};
+use crate::net::{Context, Event, Task};
 
 /// The query that a health check sends. Its only value is the load report.
 const LOAD_REPORT_QUERY: &[u8] = b"SHOW usage";
 
 /// A task and its times.
 pub(super) struct Exchange {
-    /// What is carried out.
-    pub task: Task,
-    /// When the task was handed to the backend.
-    pub started_at: Instant,
-    /// When its result is no longer wanted.
-    pub deadline: Instant,
+    task: Task,
+    started_at: Instant,
+    deadline: Instant,
 }
 
 impl Exchange {
@@ -26,6 +23,21 @@
         Exchange { task, started_at: now, deadline: now + timeout }
     }
 
+    /// What is carried out.
+    pub fn task(&self) -> &Task {
+        &self.task
+    }
+
+    /// When the task was handed to the backend.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
+    }
+
+    /// When the result of the task is no longer wanted.
+    pub fn deadline(&self) -> Instant {
+        self.deadline
+    }
+
     /// The Query message for the task. A statement announces the time that is left until the deadline.
     pub fn query_message(&self, now: Instant) -> Vec<u8> {
         match &self.task {
@@ -42,21 +54,13 @@
         if self.lacks_load_report(outcome, &reply) {
             context.counters.unreadable_reports += 1;
         }
-        let completion = Completion {
-            task: self.task,
-            endpoint: endpoint.clone(),
-            outcome,
-            elapsed: context.reactor.now().saturating_duration_since(self.started_at),
-            log_position: reply.log_position,
-            role: reply.role,
-            report: reply.report.unwrap_or_default(),
-            value: reply.value,
-        };
+        let elapsed = context.reactor.now().saturating_duration_since(self.started_at);
+        let completion = reply.into_completion(self.task, endpoint.clone(), outcome, elapsed);
         context.events.push_back(Event::TaskCompleted(Box::new(completion)));
     }
 
     /// Whether a health check succeeded but its load report could not be parsed.
     fn lacks_load_report(&self, outcome: Outcome, reply: &Reply) -> bool {
-        matches!(self.task, Task::HealthCheck) && outcome == Outcome::Success && reply.report.is_none()
+        matches!(self.task, Task::HealthCheck) && outcome == Outcome::Success && !reply.has_load_report()
     }
 }
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -1,6 +1,13 @@
-//! The backend: keeps connections to database hosts and carries out attempts and health checks over them.
+//! The backend: holds the connections to endpoints and carries out attempts and health checks over them.
 //!
 //! The end of each task is reported by an [`Event::TaskCompleted`](super::Event::TaskCompleted).
+//!
+//! - [`pool`]: the known endpoints and the connections to them.
+//! - [`connection`]: one connection and its read, process and write cycle.
+//! - [`state`]: what a connection does at present, and how that ends when the connection fails.
+//! - [`exchange`]: one task with its deadline.
+//! - [`reply`]: what has been received in reply to one query.
+//! - [`connect_error`]: why no connection was opened.
 
 mod connect_error;
 mod connection;
@@ -13,10 +20,9 @@
 use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
-use mio::Interest;
 
 use super::buffer::MemoryBudget;
-use super::reactor::{ConnectionId, EventSource, TimerEvent};
+use super::reactor::{ConnectionId, TimerEvent};
 use super::{Context, Task};
 use crate::endpoint_list::ListedEndpoint;
 use crate::interface::{EndpointId, Outcome, UpdateKind};
@@ -26,11 +32,11 @@
 use pool::Pool;
 use reply::Reply;
 
-/// Idle connections are closed after this share of the time for which a database host keeps them. A query
-/// that is sent while the host closes its connection would end in a reset.
+/// Idle connections are closed after this share of an endpoint's keepalive. A query that is sent while the
+/// endpoint closes its connection would end in a reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 
-/// Carries out tasks on database hosts.
+/// Carries out tasks on endpoints.
 pub(crate) struct Backend {
     pool: Pool,
     budget: MemoryBudget,
@@ -41,7 +47,7 @@
 }
 
 impl Backend {
-    /// A backend without connections. `keepalive` is how long a database host keeps an idle connection.
+    /// A backend without connections. `keepalive` is how long an endpoint leaves an idle connection open.
     pub fn new(
         max_connections: usize,
         budget: MemoryBudget,
@@ -56,21 +62,21 @@
         }
     }
 
-    /// Applies an update of the endpoint list. Queries that wait for a connection to a host which takes no
-    /// requests any more are not sent.
+    /// Applies an update of the endpoint list. Queries that wait for a connection to an endpoint which has
+    /// stopped serving are not sent.
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
         endpoints: &[ListedEndpoint],
         context: &mut Context,
     ) {
-        let leaving = self.pool.update_endpoints(kind, endpoints, context.reactor.now());
-        for id in self.pool.unsent_to(&leaving) {
+        let no_longer_serving = self.pool.update_endpoints(kind, endpoints, context.reactor.now());
+        for id in self.pool.unsent_to(&no_longer_serving) {
             self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
         }
     }
 
-    /// Closes the idle connections to a database host.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle_connections(&mut self, endpoint: &EndpointId) {
         self.pool.close_idle_connections(endpoint);
     }
@@ -88,7 +94,7 @@
         if let Some(id) = self.pool.take_idle(endpoint) {
             if let Some(connection) = self.pool.get_mut(id) {
                 let progress = connection.start(exchange, now, self.connect_timeout);
-                context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
+                context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
                 self.handle_progress(id, progress, context);
                 return Some(id);
             }
@@ -117,10 +123,10 @@
         Some(id)
     }
 
-    /// Starts to establish a TCP connection to a database host.
+    /// Starts to establish a TCP connection to an endpoint.
     fn connect(&mut self, endpoint: &EndpointId) -> Result<(SocketAddr, TcpStream), ConnectError> {
-        let address = self.pool.address(endpoint).ok_or(ConnectError::UnknownHost)?;
-        if !self.pool.make_room() {
+        let address = self.pool.address(endpoint).ok_or(ConnectError::UnknownEndpoint)?;
+        if !self.pool.ensure_capacity() {
             return Err(ConnectError::TooManyConnections);
         }
         let stream = TcpStream::connect(address)?;
@@ -130,11 +136,9 @@
     /// Sets the timer of a new connection and registers it for events.
     fn register(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
-        context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
-        let interests = Interest::READABLE | Interest::WRITABLE;
-        let source = EventSource::Backend(id);
-        if context.reactor.register(&mut connection.stream, source, interests).is_err() {
-            // The host is not to blame for a shortage of this machine.
+        context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
+        if connection.register(id, &mut context.reactor).is_err() {
+            // The endpoint is not to blame for a shortage of this machine.
             self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
         }
     }
@@ -143,10 +147,10 @@
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
         let Some(connection) = self.pool.get_mut(id) else { return };
-        let previous_deadline = connection.state_deadline;
+        let previous_deadline = connection.state_deadline();
         let progress = connection.poll(now, self.connect_timeout);
-        if connection.state_deadline != previous_deadline {
-            context.reactor.set_timer(connection.state_deadline, TimerEvent::Backend(id));
+        if connection.state_deadline() != previous_deadline {
+            context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
         }
         self.handle_progress(id, progress, context);
     }
@@ -170,10 +174,10 @@
 
     /// Whether a connection exists and its present state has lasted too long.
     fn is_expired(&mut self, id: ConnectionId, now: Instant) -> bool {
-        self.pool.get_mut(id).is_some_and(|connection| connection.state_deadline <= now)
+        self.pool.get_mut(id).is_some_and(|connection| connection.state_deadline() <= now)
     }
 
-    /// Cancels the task on a connection. The database host learns of it when the connection is closed.
+    /// Cancels the task on a connection. The endpoint learns of it when the connection is closed.
     pub fn cancel(&mut self, id: ConnectionId, context: &mut Context) {
         self.handle_progress(id, Progress::Failed(Outcome::Cancelled), context);
     }
@@ -197,7 +201,7 @@
         }
     }
 
-    /// Reports the end of an exchange and keeps its connection for further use, if possible.
+    /// Reports the end of an exchange and returns its connection to the pool.
     fn finish_exchange(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
         let idle_deadline = context.reactor.now() + self.idle_timeout;
@@ -205,7 +209,7 @@
         if connection.has_unread_input() {
             context.counters.unsolicited_messages += 1;
         }
-        let endpoint = connection.endpoint.clone();
+        let endpoint = connection.endpoint().clone();
         context.reactor.set_timer(idle_deadline, TimerEvent::Backend(id));
         self.pool.release(id);
         // Without a complete result set the reply is invalid, but the request may have been executed.
@@ -227,7 +231,7 @@
     fn close(&mut self, id: ConnectionId, outcome: Outcome, context: &mut Context) {
         let Some(mut connection) = self.pool.remove(id) else { return };
         if let Some((exchange, reply)) = connection.take_exchange() {
-            exchange.complete(&connection.endpoint, outcome, reply, context);
+            exchange.complete(connection.endpoint(), outcome, reply, context);
         }
     }
 }
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The known database hosts, all connections to them, and which of these are idle.
+//! The known endpoints, all connections to them, and which of these are idle.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,132 +9,147 @@
 use crate::interface::{EndpointId, EndpointStatus, UpdateKind};
 use crate::net::reactor::{ConnectionId, ConnectionTable};
 
-/// The most idle connections that are kept for one database host.
-const MAX_IDLE_PER_HOST: usize = 48;
-/// How long a host that has left the endpoint list stays known; far longer than any deadline.
-const REMOVED_HOST_RETENTION: Duration = Duration::from_secs(60);
+/// The most idle connections to one endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 48;
+/// How long an endpoint that has left the endpoint list stays known; far longer than any deadline.
+const REMOVED_ENDPOINT_RETENTION: Duration = Duration::from_secs(60);
 
-/// A database host of the endpoint list.
-struct Host {
+/// An endpoint of the endpoint list.
+struct PooledEndpoint {
     address: SocketAddr,
     /// When it last started (Unix seconds on the clock of the database hosts).
     started_at: f64,
     /// When an update of the endpoint list last contained it, with whatever status.
     last_listed_at: Instant,
     /// Whether it has left the endpoint list.
-    removed: bool,
+    is_removed: bool,
     /// Whether it is listed as serving.
-    takes_requests: bool,
+    is_serving: bool,
     /// Connections that are ready for a query, the most recently used one last.
     idle: Vec<ConnectionId>,
 }
 
-impl Host {
-    fn new(listed: &ListedEndpoint, now: Instant) -> Host {
-        Host {
+impl PooledEndpoint {
+    fn new(listed: &ListedEndpoint, now: Instant) -> PooledEndpoint {
+        PooledEndpoint {
             address: listed.address,
             started_at: listed.started_at,
             last_listed_at: now,
-            removed: false,
-            takes_requests: true,
+            is_removed: false,
+            is_serving: true,
             idle: Vec::new(),
         }
     }
 }
 
-/// All connections to database hosts.
+/// All connections to endpoints.
 pub(super) struct Pool {
-    hosts: HashMap<EndpointId, Host>,
+    endpoints: HashMap<EndpointId, PooledEndpoint>,
     connections: ConnectionTable<Connection>,
     max_connections: usize,
 }
 
 impl Pool {
-    /// A pool that knows no hosts yet and holds this many connections at most.
+    /// A pool that knows no endpoints yet and holds this many connections at most.
     pub fn new(max_connections: usize) -> Pool {
-        Pool { hosts: HashMap::new(), connections: ConnectionTable::new(), max_connections }
+        Pool { endpoints: HashMap::new(), connections: ConnectionTable::new(), max_connections }
     }
 
-    /// Applies an update of the endpoint list. Idle connections to a host that has moved, restarted, begun to
-    /// drain or left are closed: a host that was cut off leaves them open and silent. Returns the hosts that
-    /// take no requests from now on.
+    /// Applies an update of the endpoint list. Idle connections to an endpoint that has moved, restarted, begun
+    /// to drain or left are closed: an endpoint that was cut off leaves them open and silent. Returns the
+    /// endpoints that stop serving with this update.
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
-        endpoints: &[ListedEndpoint],
+        update: &[ListedEndpoint],
         now: Instant,
     ) -> HashSet<EndpointId> {
-        let mut leaving = self.serving_hosts();
+        let mut no_longer_serving = self.serving_endpoints();
         if kind != UpdateKind::Delta {
-            for host in self.hosts.values_mut() {
-                host.removed = true;
-                host.takes_requests = false;
-            }
+            self.mark_all_removed();
         }
-        for listed in endpoints {
+        for listed in update {
             self.update_endpoint(listed, now);
         }
-        for host in self.hosts.values_mut().filter(|host| host.removed) {
-            for id in host.idle.drain(..) {
+        self.close_idle_connections_to_removed();
+        self.forget_removed(now);
+        for serving in self.serving_endpoints() {
+            no_longer_serving.remove(&serving);
+        }
+        no_longer_serving
+    }
+
+    fn serving_endpoints(&self) -> HashSet<EndpointId> {
+        let serving = self.endpoints.iter().filter(|(_, endpoint)| endpoint.is_serving);
+        serving.map(|(name, _)| name.clone()).collect()
+    }
+
+    fn mark_all_removed(&mut self) {
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.is_removed = true;
+            endpoint.is_serving = false;
+        }
+    }
+
+    fn close_idle_connections_to_removed(&mut self) {
+        for endpoint in self.endpoints.values_mut().filter(|endpoint| endpoint.is_removed) {
+            for id in endpoint.idle.drain(..) {
                 self.connections.remove(id);
             }
         }
-        self.hosts.retain(|_, host| {
-            !host.removed || now.saturating_duration_since(host.last_listed_at) < REMOVED_HOST_RETENTION
-        });
-        for serving in self.serving_hosts() {
-            leaving.remove(&serving);
-        }
-        leaving
     }
 
-    fn serving_hosts(&self) -> HashSet<EndpointId> {
-        let serving = self.hosts.iter().filter(|(_, host)| host.takes_requests);
-        serving.map(|(name, _)| name.clone()).collect()
+    /// Forgets the endpoints that have left the list for long enough.
+    fn forget_removed(&mut self, now: Instant) {
+        self.endpoints.retain(|_, endpoint| {
+            let unlisted = now.saturating_duration_since(endpoint.last_listed_at);
+            !endpoint.is_removed || unlisted < REMOVED_ENDPOINT_RETENTION
+        });
     }
 
     /// Applies one entry of an update.
     fn update_endpoint(&mut self, listed: &ListedEndpoint, now: Instant) {
-        let host = self.hosts.entry(listed.name.clone()).or_insert_with(|| Host::new(listed, now));
-        let connections_are_stale = host.address != listed.address
-            || host.started_at != listed.started_at
+        let known = self.endpoints.entry(listed.name.clone());
+        let endpoint = known.or_insert_with(|| PooledEndpoint::new(listed, now));
+        let connections_are_stale = endpoint.address != listed.address
+            || endpoint.started_at != listed.started_at
             || listed.status != EndpointStatus::Serving;
-        host.address = listed.address;
-        host.started_at = listed.started_at;
-        host.last_listed_at = now;
-        host.removed = listed.status == EndpointStatus::Removed;
-        host.takes_requests = listed.status == EndpointStatus::Serving;
+        endpoint.address = listed.address;
+        endpoint.started_at = listed.started_at;
+        endpoint.last_listed_at = now;
+        endpoint.is_removed = listed.status == EndpointStatus::Removed;
+        endpoint.is_serving = listed.status == EndpointStatus::Serving;
         if connections_are_stale {
             self.close_idle_connections(&listed.name);
         }
     }
 
-    /// The connections to these hosts whose query is not sent yet.
-    pub fn unsent_to(&self, hosts: &HashSet<EndpointId>) -> Vec<ConnectionId> {
-        let unsent = self
-            .connections
-            .iter()
-            .filter(|(_, connection)| connection.has_unsent_query() && hosts.contains(&connection.endpoint));
+    /// The connections to these endpoints whose query is not sent yet.
+    pub fn unsent_to(&self, endpoints: &HashSet<EndpointId>) -> Vec<ConnectionId> {
+        let is_unsent = |connection: &Connection| {
+            connection.has_unsent_query() && endpoints.contains(connection.endpoint())
+        };
+        let unsent = self.connections.iter().filter(|(_, connection)| is_unsent(connection));
         unsent.map(|(id, _)| id).collect()
     }
 
-    /// Closes the idle connections to a host.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle_connections(&mut self, endpoint: &EndpointId) {
-        let Some(host) = self.hosts.get_mut(endpoint) else { return };
-        for id in host.idle.drain(..) {
+        let Some(endpoint) = self.endpoints.get_mut(endpoint) else { return };
+        for id in endpoint.idle.drain(..) {
             self.connections.remove(id);
         }
     }
 
-    /// The address of a host, if it is known.
+    /// The address of an endpoint, if it is known.
     pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
-        self.hosts.get(endpoint).map(|host| host.address)
+        self.endpoints.get(endpoint).map(|endpoint| endpoint.address)
     }
 
-    /// Takes the most recently used idle connection to a host, and closes those that are no longer usable.
+    /// Takes the most recently used idle connection to an endpoint, and closes those that are no longer usable.
     pub fn take_idle(&mut self, endpoint: &EndpointId) -> Option<ConnectionId> {
-        let host = self.hosts.get_mut(endpoint)?;
-        while let Some(id) = host.idle.pop() {
+        let endpoint = self.endpoints.get_mut(endpoint)?;
+        while let Some(id) = endpoint.idle.pop() {
             let Some(connection) = self.connections.get_mut(id) else { continue };
             if connection.is_usable() {
                 return Some(id);
@@ -144,25 +159,25 @@
         None
     }
 
-    /// Keeps a connection for further use, or closes it if it is out of sync, if its host has moved or left,
-    /// or if that host has enough idle connections.
+    /// Returns a connection to the pool for further use, or closes it if it is out of sync, if its endpoint has
+    /// moved or left, or if that endpoint has enough idle connections.
     pub fn release(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let host = self
-            .hosts
-            .get_mut(&connection.endpoint)
+        let endpoint = self
+            .endpoints
+            .get_mut(connection.endpoint())
             .filter(|_| connection.has_empty_buffers())
-            .filter(|host| !host.removed && host.address == connection.address)
-            .filter(|host| host.idle.len() < MAX_IDLE_PER_HOST);
-        match host {
-            Some(host) => host.idle.push(id),
+            .filter(|endpoint| !endpoint.is_removed && endpoint.address == connection.address())
+            .filter(|endpoint| endpoint.idle.len() < MAX_IDLE_PER_ENDPOINT);
+        match endpoint {
+            Some(endpoint) => endpoint.idle.push(id),
             None => drop(self.connections.remove(id)),
         }
     }
 
     /// Makes sure that one more connection can be opened, if need be by closing an idle one. False if all
     /// connections are in use.
-    pub fn make_room(&mut self) -> bool {
+    pub fn ensure_capacity(&mut self) -> bool {
         self.connections.len() < self.max_connections || self.evict_idle()
     }
 
@@ -172,7 +187,7 @@
             .connections
             .iter()
             .filter(|(_, connection)| connection.is_idle())
-            .min_by_key(|(_, connection)| connection.state_deadline)
+            .min_by_key(|(_, connection)| connection.state_deadline())
             .map(|(id, _)| id);
         next_to_expire.is_some_and(|id| self.remove(id).is_some())
     }
@@ -190,8 +205,8 @@
     /// Takes a connection out of the pool, be it idle or in use.
     pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(id)?;
-        if let Some(host) = self.hosts.get_mut(&connection.endpoint) {
-            host.idle.retain(|idle| *idle != id);
+        if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint()) {
+            endpoint.idle.retain(|idle| *idle != id);
         }
         Some(connection)
     }
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -1,16 +1,18 @@
-//! The reply of a database host to one query, as far as it has been received.
+//! The reply of an endpoint to one query, as far as it has been received.
 
-use crate::interface::{LoadReport, Outcome, Role};
+use std::time::Duration;
+
+use crate::interface::{EndpointId, LoadReport, Outcome, Role};
 use crate::load_report;
 use crate::net::buffer::MemoryReservation;
 use crate::net::postgres::message_kind::server as message_kind;
 use crate::net::postgres::{self, sqlstate, Message};
-use crate::net::Task;
+use crate::net::{Completion, Task};
 use crate::time::LogPosition;
 
 /// The parameter that holds the commit time of the log position (Unix milliseconds).
 const LOG_POSITION_PARAMETER: &str = "commit_clock";
-/// The parameter that holds the role of the database host.
+/// The parameter that holds the role of the endpoint.
 const ROLE_PARAMETER: &str = "server_role";
 const PRIMARY_ROLE: &str = "writer";
 const REPLICA_ROLE: &str = "reader";
@@ -47,7 +49,7 @@
     Incomplete,
     /// The reply has ended and the connection is ready for the next query.
     ReadyForQuery,
-    /// The database host is about to close the connection.
+    /// The endpoint is about to close the connection.
     FatalError,
 }
 
@@ -69,13 +71,13 @@
     /// The SQLSTATE of the latest ErrorResponse.
     error_code: Option<String>,
     /// The messages of the result set as they were received; empty for a health check.
-    pub value: Vec<u8>,
-    /// The log position that the database host had reached.
-    pub log_position: Option<LogPosition>,
-    /// The role that the database host says it has.
-    pub role: Option<Role>,
+    value: Vec<u8>,
+    /// The log position that the endpoint had reached.
+    log_position: Option<LogPosition>,
+    /// The role that the endpoint says it has.
+    role: Option<Role>,
     /// The load report that a health check has asked for, if it could be parsed.
-    pub report: Option<LoadReport>,
+    report: Option<LoadReport>,
 }
 
 impl Reply {
@@ -93,6 +95,31 @@
         self.result_set != ResultSet::AwaitingRowDescription || self.error_code.is_some()
     }
 
+    /// Whether a load report has been received and could be parsed.
+    pub fn has_load_report(&self) -> bool {
+        self.report.is_some()
+    }
+
+    /// The end of a task with this outcome that this is the reply to.
+    pub fn into_completion(
+        self,
+        task: Task,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        elapsed: Duration,
+    ) -> Completion {
+        Completion {
+            task,
+            endpoint,
+            outcome,
+            elapsed,
+            log_position: self.log_position,
+            role: self.role,
+            report: self.report.unwrap_or_default(),
+            value: self.value,
+        }
+    }
+
     /// Adds a message. `value_memory` is the memory that the value takes.
     pub fn add_message(
         &mut self,
@@ -166,7 +193,7 @@
     }
 }
 
-/// The outcome of an exchange that the database host has answered with an error.
+/// The outcome of an exchange that the endpoint has answered with an error.
 fn error_outcome(code: &str) -> Outcome {
     match code {
         sqlstate::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -25,6 +25,15 @@
     },
 }
 
+/// Whether a query, and whatever was queued before it, is completely written to the socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WriteStatus {
+    /// Some of it is still in the output buffer.
+    Pending,
+    /// All of it is written.
+    Written,
+}
+
 /// How an exchange ends when a state has lasted too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Expiry {
@@ -66,10 +75,10 @@
 
     /// How the exchange ends when the connection has ended. Before the last byte of a query is sent the query
     /// cannot have been executed; after that it may have been, unless the reply says otherwise.
-    pub fn outcome_of_lost_connection(&self, output_sent: bool) -> Outcome {
+    pub fn outcome_of_lost_connection(&self, query: WriteStatus) -> Outcome {
         match self {
             State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
-            State::Busy { .. } if !output_sent => Outcome::ConnectFailed,
+            State::Busy { .. } if query == WriteStatus::Pending => Outcome::ConnectFailed,
             State::Busy { reply, .. } => reply.outcome().unwrap_or(Outcome::ConnectionReset),
             State::Idle => Outcome::ConnectionReset,
         }
@@ -92,16 +101,16 @@
     }
 
     /// How the exchange ends when the state has lasted too long.
-    pub fn expiry(&self, now: Instant, connect_timeout: Duration, output_sent: bool) -> Expiry {
+    pub fn expiry(&self, now: Instant, connect_timeout: Duration, query: WriteStatus) -> Expiry {
         match self {
             State::Connecting(exchange) | State::Starting(exchange) => {
-                if now >= exchange.started_at + connect_timeout {
+                if now >= exchange.started_at() + connect_timeout {
                     Expiry::Failed(Outcome::ConnectFailed)
                 } else {
                     Expiry::Failed(Outcome::Timeout)
                 }
             }
-            State::Busy { .. } if !output_sent => Expiry::Failed(Outcome::ConnectFailed),
+            State::Busy { .. } if query == WriteStatus::Pending => Expiry::Failed(Outcome::ConnectFailed),
             State::Busy { response_started: true, .. } => Expiry::ReplyStalled,
             State::Busy { .. } | State::Idle => Expiry::Failed(Outcome::Timeout),
         }
--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -28,18 +28,22 @@
 }
 
 #[rstest]
-#[case::connecting(State::Connecting(exchange()), true, Outcome::ConnectFailed)]
-#[case::starting(State::Starting(exchange()), true, Outcome::ConnectFailed)]
-#[case::query_not_sent(busy(None, false), false, Outcome::ConnectFailed)]
-#[case::query_not_sent_despite_an_error(busy(Some("53300"), true), false, Outcome::ConnectFailed)]
-#[case::query_sent(busy(None, false), true, Outcome::ConnectionReset)]
-#[case::error_received(busy(Some("25006"), true), true, Outcome::Ineligible)]
+#[case::connecting(State::Connecting(exchange()), WriteStatus::Written, Outcome::ConnectFailed)]
+#[case::starting(State::Starting(exchange()), WriteStatus::Written, Outcome::ConnectFailed)]
+#[case::query_not_sent(busy(None, false), WriteStatus::Pending, Outcome::ConnectFailed)]
+#[case::query_not_sent_despite_an_error(
+    busy(Some("53300"), true),
+    WriteStatus::Pending,
+    Outcome::ConnectFailed
+)]
+#[case::query_sent(busy(None, false), WriteStatus::Written, Outcome::ConnectionReset)]
+#[case::error_received(busy(Some("25006"), true), WriteStatus::Written, Outcome::Ineligible)]
 fn a_lost_connection_may_have_executed_only_a_sent_query(
     #[case] state: State,
-    #[case] output_sent: bool,
+    #[case] query: WriteStatus,
     #[case] outcome: Outcome,
 ) {
-    assert_eq!(state.outcome_of_lost_connection(output_sent), outcome);
+    assert_eq!(state.outcome_of_lost_connection(query), outcome);
 }
 
 #[rstest]
@@ -59,26 +63,36 @@
 }
 
 #[rstest]
-#[case::connecting(State::Connecting(exchange()), 1000, true, Expiry::Failed(Outcome::ConnectFailed))]
-#[case::starting(State::Starting(exchange()), 1000, true, Expiry::Failed(Outcome::ConnectFailed))]
+#[case::connecting(
+    State::Connecting(exchange()),
+    1000,
+    WriteStatus::Written,
+    Expiry::Failed(Outcome::ConnectFailed)
+)]
+#[case::starting(
+    State::Starting(exchange()),
+    1000,
+    WriteStatus::Written,
+    Expiry::Failed(Outcome::ConnectFailed)
+)]
 #[case::starting_at_an_earlier_deadline(
     State::Starting(exchange()),
     500,
-    true,
+    WriteStatus::Written,
     Expiry::Failed(Outcome::Timeout)
 )]
-#[case::query_not_sent(busy(None, true), 5000, false, Expiry::Failed(Outcome::ConnectFailed))]
-#[case::no_reply(busy(None, false), 5000, true, Expiry::Failed(Outcome::Timeout))]
-#[case::part_of_a_reply(busy(None, true), 5000, true, Expiry::ReplyStalled)]
-#[case::idle(State::Idle, 5000, true, Expiry::Failed(Outcome::Timeout))]
+#[case::query_not_sent(busy(None, true), 5000, WriteStatus::Pending, Expiry::Failed(Outcome::ConnectFailed))]
+#[case::no_reply(busy(None, false), 5000, WriteStatus::Written, Expiry::Failed(Outcome::Timeout))]
+#[case::part_of_a_reply(busy(None, true), 5000, WriteStatus::Written, Expiry::ReplyStalled)]
+#[case::idle(State::Idle, 5000, WriteStatus::Written, Expiry::Failed(Outcome::Timeout))]
 fn the_state_decides_how_an_exchange_expires(
     #[case] state: State,
     #[case] elapsed_millis: u64,
-    #[case] output_sent: bool,
+    #[case] query: WriteStatus,
     #[case] expiry: Expiry,
 ) {
     let now = *STARTED_AT + Duration::from_millis(elapsed_millis);
-    assert_eq!(state.expiry(now, CONNECT_TIMEOUT, output_sent), expiry);
+    assert_eq!(state.expiry(now, CONNECT_TIMEOUT, query), expiry);
 }
 
 #[test]
