--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -1,17 +1,21 @@
-//! The reply of a database host to one query, as far as it has been received.
+//! The reply of an endpoint to one query, as far as it has been received.
 
-use crate::interface::{LoadReport, Outcome};
+use std::time::Duration;
+
+use crate::interface::{EndpointId, LoadReport, Outcome, Role};
 use crate::load_report;
 use crate::net::buffer::MemoryReservation;
 use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
-use crate::net::Task;
+use crate::net::{Completion, Task};
+use crate::time::LogPosition;
 
 /// The parameter that holds the commit time of the log position (Unix milliseconds).
 const LOG_POSITION_PARAMETER: &str = "commit_clock";
-/// The parameter that holds the role of the database host.
+/// The parameter that holds the role of the endpoint.
 const ROLE_PARAMETER: &str = "server_role";
 const PRIMARY_ROLE: &str = "writer";
 const REPLICA_ROLE: &str = "reader";
+const MILLIS_PER_SECOND: f64 = 1000.0;
 
 /// How far the result set of one query has been received. It has exactly one row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -48,7 +52,7 @@
     Incomplete,
     /// The reply has ended and the connection is ready for the next query.
     ReadyForQuery,
-    /// The database host is about to close the connection.
+    /// The endpoint is about to close the connection.
     FatalError,
 }
 
@@ -70,13 +74,13 @@
     /// The SQLSTATE of the latest ErrorResponse.
     error_code: Option<String>,
     /// The messages of the result set as they were received; empty for a health check.
-    pub value: Vec<u8>,
-    /// The log position that the database host had reached (Unix seconds).
-    pub log_position: Option<f64>,
-    /// Whether the database host says that it is the primary.
-    pub primary: Option<bool>,
+    value: Vec<u8>,
+    /// The log position that the endpoint had reached.
+    log_position: Option<LogPosition>,
+    /// The role that the endpoint says it has.
+    role: Option<Role>,
     /// The load report that a health check has asked for, if it could be parsed.
-    pub report: Option<LoadReport>,
+    report: Option<LoadReport>,
 }
 
 impl Reply {
@@ -94,6 +98,31 @@
         self.result_set != ResultSet::AwaitingRowDescription || self.error_code.is_some()
     }
 
+    /// Whether a load report has been received and could be parsed.
+    pub fn has_load_report(&self) -> bool {
+        self.report.is_some()
+    }
+
+    /// The end of a task with this outcome that this is the reply to.
+    pub fn into_completion(
+        self,
+        task: Task,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        elapsed: Duration,
+    ) -> Completion {
+        Completion {
+            task,
+            endpoint,
+            outcome,
+            elapsed,
+            log_position: self.log_position,
+            role: self.role,
+            report: self.report.unwrap_or_default(),
+            value: self.value,
+        }
+    }
+
     /// Adds a message. `value_memory` is the memory that the value takes.
     pub fn add_message(
         &mut self,
@@ -118,10 +147,11 @@
     fn add_parameter(&mut self, body: &[u8]) {
         match postgres::parse_parameter_status(body) {
             Some((LOG_POSITION_PARAMETER, value)) => {
-                self.log_position = value.parse::<f64>().ok().map(|millis| millis / 1000.0);
+                let millis = value.parse::<f64>().ok();
+                self.log_position = millis.map(|millis| LogPosition::from_secs(millis / MILLIS_PER_SECOND));
             }
-            Some((ROLE_PARAMETER, PRIMARY_ROLE)) => self.primary = Some(true),
-            Some((ROLE_PARAMETER, REPLICA_ROLE)) => self.primary = Some(false),
+            Some((ROLE_PARAMETER, PRIMARY_ROLE)) => self.role = Some(Role::Primary),
+            Some((ROLE_PARAMETER, REPLICA_ROLE)) => self.role = Some(Role::Replica),
             _ => {}
         }
     }
@@ -168,7 +198,7 @@
     }
 }
 
-/// The outcome of an exchange that the database host has answered with an error.
+/// The outcome of an exchange that the endpoint has answered with an error.
 fn error_outcome(code: &str) -> Outcome {
     match code {
         sqlstate::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
