--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::{Endpoint, EndpointId, EndpointStatus, UpdateKind};
 use crate::policy::cluster::Group;
-use crate::policy::endpoint::EndpointState;
+use crate::policy::endpoint::{EndpointState, Restart};
 use crate::time::LocalInstant;
 
 /// The place of an endpoint in the [`EndpointTable`]. Places of forgotten endpoints are used again.
@@ -91,18 +91,20 @@
                 *listed = true;
             }
             self.move_to_group(endpoint, entry.group);
-            let has_restarted = self.slots[endpoint].apply(kind, entry, now);
+            let restart = self.slots[endpoint].apply(kind, entry, now);
             if known.is_none() {
                 started.added.push(endpoint);
-            } else if has_restarted {
+            } else if restart == Restart::Restarted {
                 started.restarted.push(endpoint);
             }
         }
         for (endpoint, _) in listed.iter().enumerate().filter(|(_, listed)| !**listed) {
-            self.slots[endpoint].mark_removed();
+            self.slots[endpoint].listing_mut().mark_removed();
         }
-        for endpoint in self.slots.iter_mut().filter(|slot| slot.status() != EndpointStatus::Removed) {
-            endpoint.mark_listed(now);
+        for endpoint in
+            self.slots.iter_mut().filter(|slot| slot.listing().status() != EndpointStatus::Removed)
+        {
+            endpoint.listing_mut().mark_listed(now);
         }
         started
     }
@@ -121,7 +123,7 @@
     }
 
     fn move_to_group(&mut self, endpoint: EndpointKey, group: u32) {
-        let old_group = self.slots[endpoint].move_to_group(group);
+        let old_group = self.slots[endpoint].listing_mut().move_to_group(group);
         if old_group != group {
             self.groups.entry(old_group).or_default().retain_members(|&other| other != endpoint);
             self.groups.entry(group).or_default().add_member(endpoint);
--- a/src/policy/cluster/endpoint_table/tests.rs
+++ b/src/policy/cluster/endpoint_table/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn status(table: &EndpointTable, id: &str) -> Option<EndpointStatus> {
-    Some(table[table.key(&EndpointId::from(id))?].status())
+    Some(table[table.key(&EndpointId::from(id))?].listing().status())
 }
 
 #[test]
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -148,21 +148,23 @@
 
     /// Whether an endpoint is in the pooler's own zone.
     pub(crate) fn is_local(&self, endpoint: EndpointKey) -> bool {
-        self.endpoints[endpoint].zone() == self.settings.zone
+        self.endpoints[endpoint].listing().zone() == self.settings.zone
     }
 
     /// Whether an endpoint is known as the primary of its group.
     pub(crate) fn is_primary(&self, endpoint: EndpointKey) -> bool {
-        self.endpoints.primary(self.endpoints[endpoint].group()) == Some(endpoint)
+        self.endpoints.primary(self.endpoints[endpoint].listing().group()) == Some(endpoint)
     }
 
     /// Whether new requests may be sent to an endpoint. A drain is binding as soon as it is announced.
     pub(crate) fn accepts_requests(&self, endpoint: EndpointKey) -> bool {
         let endpoint = &self.endpoints[endpoint];
-        match endpoint.status() {
+        match endpoint.listing().status() {
             EndpointStatus::Serving => true,
             EndpointStatus::Draining => false,
-            EndpointStatus::Removed => self.settings.removal_is_advisory && !endpoint.is_drain_announced(),
+            EndpointStatus::Removed => {
+                self.settings.removal_is_advisory && !endpoint.listing().is_drain_announced()
+            }
         }
     }
 
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -125,7 +125,7 @@
         let endpoint = self.cluster.endpoint(to);
         let Some(request) = self.requests.get_mut(key) else { return };
         let Ok(answer_by) = retry::next_attempt(request, &self.cluster) else { return };
-        if request.group() != endpoint.group() {
+        if request.group() != endpoint.listing().group() {
             return;
         }
         let timeout = (answer_by - now).max(self.cluster.settings().tick);
@@ -160,7 +160,7 @@
             }
             self.finish_or_retry(ended.key, endpoint, result);
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).group());
+        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Takes in what the outcome of an attempt shows of its endpoint and of its class.
@@ -208,7 +208,7 @@
             return self.give_up(key, reason);
         }
         if result.outcome == Outcome::Ineligible && is_write {
-            self.elect_primary(self.cluster.endpoint(endpoint).group());
+            self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
         }
         self.dispatch(key);
     }
--- a/src/policy/endpoint/tests.rs
+++ b/src/policy/endpoint/tests.rs
@@ -1,13 +1,10 @@
 use super::*;
+use crate::interface::Role;
 use crate::time::tests::{at, cluster, secs};
 
 /// The clock of a pooler that reads the same as the endpoints.
 const CLOCK: ClusterClock = ClusterClock::new(true);
 
-fn claim(at: LocalInstant) -> Option<PrimaryClaim> {
-    Some(PrimaryClaim { at: Some(at) })
-}
-
 fn endpoint() -> EndpointState {
     EndpointState::new("db-1".into(), 0, 0)
 }
@@ -16,34 +13,6 @@
     LoadReport { log_position: Some(cluster(log_position)), role: Some(role) }
 }
 
-#[test]
-fn a_log_position_never_goes_back_and_is_never_in_the_future() {
-    let mut endpoint = endpoint();
-    endpoint.observe(&report(10.0, Role::Replica), ReportAge::Current, &CLOCK, at(10.0));
-    endpoint.observe(&report(9.0, Role::Replica), ReportAge::Current, &CLOCK, at(11.0));
-    endpoint.observe(&report(50.0, Role::Replica), ReportAge::Current, &CLOCK, at(12.0));
-    endpoint.observe(&report(f64::NAN, Role::Replica), ReportAge::Current, &CLOCK, at(13.0));
-    let known = (endpoint.log_position(), endpoint.log_position_reported_at());
-    assert_eq!(known, (Some(cluster(10.0)), Some(at(10.0))));
-}
-
-#[test]
-fn a_claim_with_an_old_position_was_made_before_the_present_one() {
-    let mut endpoint = endpoint();
-    endpoint.observe(&report(10.0, Role::Replica), ReportAge::Current, &CLOCK, at(10.0));
-    endpoint.observe(&report(9.0, Role::Primary), ReportAge::Current, &CLOCK, at(10.1));
-    assert_eq!(endpoint.primary_claim(secs(5.0)), None);
-    endpoint.observe(&report(10.2, Role::Primary), ReportAge::Current, &CLOCK, at(10.2));
-    assert_eq!(endpoint.primary_claim(secs(5.0)), claim(at(10.2)));
-}
-
-#[test]
-fn a_role_in_a_report_is_as_old_as_its_position() {
-    let mut endpoint = endpoint();
-    endpoint.observe(&report(10.0, Role::Primary), ReportAge::Unknown, &CLOCK, at(12.0));
-    assert_eq!(endpoint.primary_claim(secs(5.0)), claim(at(10.0)));
-}
-
 #[test]
 fn a_listed_role_counts_only_if_it_is_newer_than_what_the_endpoint_said() {
     let mut endpoint = endpoint();
@@ -51,7 +20,7 @@
     let entry = Endpoint { id: "db-1".into(), role: Role::Primary, ..Endpoint::default() };
     endpoint.apply(UpdateKind::Delta, &entry, at(12.0));
     assert_eq!(endpoint.primary_claim(secs(5.0)), None);
-    assert_eq!(endpoint.primary_claim(secs(1.0)), claim(at(11.0)));
+    assert_eq!(endpoint.primary_claim(secs(1.0)), Some(PrimaryClaim::at(at(11.0))));
 }
 
 #[test]
@@ -61,26 +30,11 @@
     assert!(endpoint.record_failure(3.0, at(9.5), secs(0.25), &mut rng).is_some());
     assert!(endpoint.health().is_ejected());
     let entry = Endpoint { id: "db-1".into(), started_at: Some(cluster(9.0)), ..Endpoint::default() };
-    assert!(endpoint.apply(UpdateKind::Delta, &entry, at(10.0)));
+    assert_eq!(endpoint.apply(UpdateKind::Delta, &entry, at(10.0)), Restart::Restarted);
     assert_eq!(endpoint.health().ejected_until(), None);
-    assert_eq!(endpoint.min_uptime(&CLOCK, at(10.0)), Some(secs(1.0)));
+    assert_eq!(endpoint.listing().min_uptime(&CLOCK, at(10.0)), Some(secs(1.0)));
     assert_eq!(endpoint.record_failure(1.9, at(10.0), secs(0.25), &mut rng), None, "the score begins anew");
-    assert!(!endpoint.apply(UpdateKind::Delta, &entry, at(11.0)), "it is the same start");
-}
-
-#[test]
-fn an_announced_drain_outlives_the_removal_and_ends_with_a_return() {
-    let mut endpoint = endpoint();
-    let entry = |status| Endpoint { id: "db-1".into(), status, ..Endpoint::default() };
-    for (status, is_announced) in [
-        (EndpointStatus::Removed, false),
-        (EndpointStatus::Draining, true),
-        (EndpointStatus::Removed, true),
-        (EndpointStatus::Serving, false),
-    ] {
-        endpoint.apply(UpdateKind::Delta, &entry(status), at(1.0));
-        assert_eq!(endpoint.is_drain_announced(), is_announced, "{status:?}");
-    }
+    assert_eq!(endpoint.apply(UpdateKind::Delta, &entry, at(11.0)), Restart::None, "it is the same start");
 }
 
 #[test]
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -97,7 +97,7 @@
             Outcome::Overloaded | Outcome::NotSent => {}
             _ => self.record_failure(endpoint, evidence::FAILURE),
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).group());
+        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Counts the silence of an endpoint, at which so many attempts are late, as a failure.
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -87,11 +87,13 @@
     required: RequiredPosition,
     cluster: &Cluster,
 ) -> Freshness {
-    if required.is_reached_at(endpoint.log_position()) {
+    if required.is_reached_at(endpoint.replication().log_position()) {
         return Freshness::Fresh;
     }
     let is_checked = cluster.settings().stale_reads.is_checked();
-    if is_checked && !endpoint.is_known_stale(cluster.now()) && may_have_reached(endpoint, required, cluster)
+    if is_checked
+        && !endpoint.replication().is_marked_stale(cluster.now())
+        && may_have_reached(endpoint, required, cluster)
     {
         Freshness::PossiblyFresh
     } else {
@@ -102,7 +104,8 @@
 /// An endpoint may have reached a position if its lag is unchanged, if it has had as much time to catch up as
 /// its lag was, or if its position is unknown.
 fn may_have_reached(endpoint: &EndpointState, required: RequiredPosition, cluster: &Cluster) -> bool {
-    let (Some(lag), Some(reported_at)) = (endpoint.lag(cluster.clock()), endpoint.log_position_reported_at())
+    let (Some(lag), Some(reported_at)) =
+        (endpoint.replication().lag(cluster.clock()), endpoint.replication().reported_at())
     else {
         return true;
     };
@@ -113,7 +116,7 @@
 /// Whether an endpoint is known to be so far behind that no bounded read may go there.
 pub(crate) fn is_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let required = cluster.likely_now() - cluster.shortest_staleness();
-    endpoint.log_position().is_none_or(|position| position < required)
+    endpoint.replication().log_position().is_none_or(|position| position < required)
 }
 
 /// Until when an endpoint that has just rejected a read is taken to be behind: it needs at least as long as
@@ -125,16 +128,17 @@
     cluster_now: ClusterInstant,
 ) -> LocalInstant {
     let longest = settings.slow_start_window;
-    let lag = endpoint.log_position().map_or(longest, |position| cluster_now - position);
+    let lag = endpoint.replication().log_position().map_or(longest, |position| cluster_now - position);
     now + lag.clamp(Span::ZERO, longest).max(settings.connect_timeout)
 }
 
 /// Whether a log position is about to be too old for reads, or unknown and no read may find it out.
 pub(crate) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness() * REFRESH_AGE_SHARE;
-    let is_local = endpoint.zone() == cluster.settings().zone;
-    let is_old = endpoint.log_position_reported_at().is_none_or(|at| cluster.now() - at > max_age);
-    let is_unknown = endpoint.log_position().is_none() && !cluster.settings().stale_reads.is_checked();
+    let is_local = endpoint.listing().zone() == cluster.settings().zone;
+    let is_old = endpoint.replication().reported_at().is_none_or(|at| cluster.now() - at > max_age);
+    let is_unknown =
+        endpoint.replication().log_position().is_none() && !cluster.settings().stale_reads.is_checked();
     is_local && is_old || is_unknown
 }
 
--- a/src/policy/primary/search.rs
+++ b/src/policy/primary/search.rs
@@ -77,6 +77,7 @@
         is_usable && is_new && slow_start.admits_to_primary(request, *endpoint, cluster)
     };
     let candidates = group.members().iter().copied().filter(is_candidate);
-    let endpoint = candidates.max_by_key(|endpoint| cluster.endpoint(*endpoint).log_position())?;
+    let endpoint =
+        candidates.max_by_key(|endpoint| cluster.endpoint(*endpoint).replication().log_position())?;
     Some(DiscoveryWrite { request: key, endpoint })
 }
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -242,7 +242,7 @@
     /// behind: a replica without load may be catching up.
     fn choose_most_behind(&self) -> EndpointKey {
         let mut by_position = self.fresh_replicas.clone();
-        by_position.sort_by_key(|replica| self.cluster.endpoint(*replica).log_position());
+        by_position.sort_by_key(|replica| self.cluster.endpoint(*replica).replication().log_position());
         let is_busy = |pair: &[EndpointKey]| self.should_leave(pair[0], pair[1]);
         let first_not_busy = by_position.windows(2).position(|pair| !is_busy(pair));
         let candidates = &by_position[first_not_busy.unwrap_or(by_position.len() - 1)..];
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -159,7 +159,7 @@
     fn budget(&self, endpoint: EndpointKey, cluster: &Cluster) -> TokenBucket {
         let settings = cluster.settings();
         let limit = settings.overload_limit.map_or(MAX_OVERLOAD_LIMIT, |limit| limit.min(MAX_OVERLOAD_LIMIT));
-        let usual_rate = self.usual_endpoint_rate(cluster.endpoint(endpoint).group(), cluster);
+        let usual_rate = self.usual_endpoint_rate(cluster.endpoint(endpoint).listing().group(), cluster);
         let per_second = limit * BUDGET_SHARE_OF_LIMIT * capacity(endpoint, cluster) * usual_rate;
         let most = 1.0 + per_second * settings.overload_window.as_secs() * BURST_SHARE;
         let mut budget = self.budgets.get(endpoint).copied().unwrap_or(TokenBucket::full(INITIAL_BUDGET));
@@ -180,7 +180,7 @@
 
 /// The present capacity of an endpoint, as a share of its full one.
 fn capacity(endpoint: EndpointKey, cluster: &Cluster) -> f64 {
-    let uptime = cluster.endpoint(endpoint).min_uptime(cluster.clock(), cluster.now());
+    let uptime = cluster.endpoint(endpoint).listing().min_uptime(cluster.clock(), cluster.now());
     uptime.map_or(1.0, |uptime| cluster.settings().capacity_after(uptime))
 }
 
