--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -9,6 +9,7 @@
 
 use super::connection::Connection;
 use super::log_limiter::LogLimiter;
+use super::protocol_state::Phase;
 use super::Frontend;
 use crate::net::postgres::CancelKey;
 use crate::net::reactor::{ConnectionId, EventSource, TimerEvent};
@@ -151,7 +152,7 @@
         if self.connections.len() < self.max_connections {
             return Room::Available;
         }
-        let closing = self.least_recently_active(|connection| connection.state.is_write_shut_down());
+        let closing = self.least_recently_active(|connection| connection.state.phase() == Phase::HalfClosed);
         let replaced = closing.or_else(|| self.least_recently_active(Connection::is_idle));
         replaced.map_or(Room::Full, Room::Replace)
     }
@@ -159,7 +160,7 @@
     fn is_replaceable(&mut self, id: ConnectionId) -> bool {
         self.connections
             .get_mut(id)
-            .is_some_and(|connection| connection.state.is_write_shut_down() || connection.is_idle())
+            .is_some_and(|connection| connection.state.phase() == Phase::HalfClosed || connection.is_idle())
     }
 
     fn warn_all_busy(&mut self, now: Instant) {
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -9,6 +9,7 @@
 
 use super::arrivals::ArrivalTimes;
 use super::deadline::ClientDeadline;
+use super::protocol_state::{Phase, ProtocolState};
 use super::session::Progress;
 use super::ServiceStatus;
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, ReadStatus, RingBuffer};
@@ -19,43 +20,6 @@
 /// Delay before the socket is registered again after the system had no memory for it.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The protocol state of a connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum State {
-    /// The client is to send its startup message.
-    Startup,
-    /// The client may send the next query.
-    Idle,
-    /// A message of the extended protocol was rejected: messages are ignored up to the next Sync.
-    SkippingToSync,
-    /// An empty query waits for a response until there is an endpoint.
-    AwaitingEndpoints,
-    /// A query waits for its response.
-    Busy,
-    /// The connection is being closed: input is discarded, pending output is still sent.
-    Closing {
-        /// Whether the sending direction has been shut down.
-        write_shut_down: bool,
-    },
-}
-
-impl State {
-    /// Returns whether the next message of the client is to be read.
-    pub(super) fn is_reading(self) -> bool {
-        matches!(self, State::Startup | State::Idle | State::SkippingToSync)
-    }
-
-    /// Returns whether the connection is being closed and all of its output is written.
-    pub(super) fn is_write_shut_down(self) -> bool {
-        self == State::Closing { write_shut_down: true }
-    }
-
-    /// Returns whether the connection is being closed.
-    pub(super) fn is_closing(self) -> bool {
-        matches!(self, State::Closing { .. })
-    }
-}
-
 /// The connection is closed or broken and has to be removed.
 #[derive(Debug, thiserror::Error)]
 #[error("the client connection is closed")]
@@ -81,9 +45,7 @@
     pub(super) input: RingBuffer,
     pub(super) arrival_times: ArrivalTimes,
     pub(super) output: RingBuffer,
-    pub(super) state: State,
-    /// Whether the client has sent a query that could be executed.
-    pub(super) has_queried: bool,
+    pub(super) state: ProtocolState,
     /// Whether the reactor announces events of the socket. Until then the connection is polled by a timer.
     is_registered: bool,
     /// Whether a timer is set to poll again, since no event announces the input that is left.
@@ -110,8 +72,7 @@
             input: RingBuffer::new(budget),
             arrival_times: ArrivalTimes::default(),
             output: RingBuffer::new(budget),
-            state: State::Startup,
-            has_queried: false,
+            state: ProtocolState::new(),
             is_registered: false,
             poll_scheduled: false,
             last_active: now,
@@ -150,7 +111,7 @@
         self.ensure_registered(id, context);
         let now = context.reactor.now();
         self.poll_scheduled = false;
-        while !self.state.is_closing() {
+        while !self.state.phase().is_closing() {
             let status = self.read_input(now)?;
             let length_before = self.input.len();
             if self.process_messages(id, service, context)? == Progress::TurnOver {
@@ -193,7 +154,7 @@
         id: ConnectionId,
         context: &mut Context,
     ) -> Result<bool, ConnectionClosed> {
-        let is_closing = self.state.is_reading() && self.output.is_empty();
+        let is_closing = self.state.phase().is_reading() && self.output.is_empty();
         if is_closing {
             self.send_fatal_error(id, sqlstate::OUT_OF_MEMORY, "no memory", context)?;
         }
@@ -227,9 +188,9 @@
     pub(super) fn flush(&mut self) -> Result<bool, ConnectionClosed> {
         let length_before = self.output.len();
         let is_flushed = self.output.write_to(&mut self.stream)?;
-        match self.state {
-            State::Closing { write_shut_down: false } if is_flushed => self.shut_down_write(),
-            State::Closing { write_shut_down: true } => {}
+        match self.state.phase() {
+            Phase::Closing if is_flushed => self.shut_down_write(),
+            Phase::HalfClosed => {}
             // A client that reads slowly does read: its time starts anew.
             _ if !is_flushed && self.output.len() < length_before => self.deadline.clear(),
             _ => {}
@@ -243,13 +204,13 @@
     /// To be done once: each shutdown raises an event for this connection, which would be polled endlessly.
     fn shut_down_write(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
-        self.state = State::Closing { write_shut_down: true };
+        self.state.half_close();
     }
 
     /// Reads a cancel request from a connection that is removed before it was processed: its client may close
     /// the connection right after sending the request.
     pub(super) fn read_final_cancel_request(&mut self, context: &mut Context) {
-        if self.state != State::Startup {
+        if self.state.phase() != Phase::Startup {
             return;
         }
         let _ = self.input.read_from(&mut self.stream);
@@ -260,13 +221,13 @@
 
     /// Returns whether the connection is between queries, with no input or output pending.
     pub(super) fn is_idle(&self) -> bool {
-        self.state.is_reading() && self.input.is_empty() && self.output.is_empty()
+        self.state.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
     }
 
     /// Returns whether the connection can be closed in a graceful shutdown: every query received is answered,
     /// although the answer may be still to be written. An incomplete message is not a query.
     pub(super) fn can_close(&self) -> bool {
-        if self.state == State::Busy || self.state.is_closing() || self.poll_scheduled {
+        if self.state.phase() == Phase::Busy || self.state.phase().is_closing() || self.poll_scheduled {
             return false;
         }
         self.output.is_empty() || self.input.is_empty()
--- a/src/net/frontend/deadline.rs
+++ b/src/net/frontend/deadline.rs
@@ -3,7 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use super::connection::{Connection, ConnectionClosed, State};
+use super::connection::{Connection, ConnectionClosed};
+use super::protocol_state::Phase;
 use crate::net::postgres::sqlstate;
 use crate::net::reactor::{ConnectionId, TimerEvent};
 use crate::net::Context;
@@ -79,7 +80,7 @@
 
     /// Starts to close the connection. The client has time to read what it has been sent.
     pub(super) fn start_closing(&mut self, id: ConnectionId, context: &mut Context) {
-        self.state = State::Closing { write_shut_down: false };
+        self.state.start_closing();
         self.update_deadline(id, context);
     }
 
@@ -91,7 +92,7 @@
         id: ConnectionId,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
-        if self.state.is_closing() {
+        if self.state.phase().is_closing() {
             return Err(ConnectionClosed);
         }
         context.counters.client_timeouts += 1;
@@ -109,16 +110,16 @@
     /// Returns what the client has to do next, if anything.
     fn due_action(&self) -> Option<DueAction> {
         let has_unread_output = !self.output.is_empty();
-        match self.state {
-            State::Busy | State::AwaitingEndpoints => None,
-            State::Closing { write_shut_down: true } => Some(DueAction::Close),
-            State::Closing { write_shut_down: false } => Some(DueAction::Read),
-            State::Startup | State::Idle | State::SkippingToSync if has_unread_output => {
+        match self.state.phase() {
+            Phase::Busy | Phase::AwaitingEndpoints => None,
+            Phase::HalfClosed => Some(DueAction::Close),
+            Phase::Closing => Some(DueAction::Read),
+            Phase::Startup | Phase::Idle | Phase::SkippingToSync if has_unread_output => {
                 Some(DueAction::Read)
             }
-            State::Startup => Some(DueAction::Send),
-            State::Idle | State::SkippingToSync => {
-                (!self.has_queried || !self.input.is_empty()).then_some(DueAction::Send)
+            Phase::Startup => Some(DueAction::Send),
+            Phase::Idle | Phase::SkippingToSync => {
+                (!self.state.has_queried() || !self.input.is_empty()).then_some(DueAction::Send)
             }
         }
     }
--- a/src/net/frontend/idle.rs
+++ b/src/net/frontend/idle.rs
@@ -40,7 +40,8 @@
 
     /// Returns the idle timeout for the present number of connections, or none if they are few.
     fn idle_timeout(&self) -> Option<Duration> {
-        let open = self.connections.iter().filter(|(_, connection)| !connection.state.is_closing()).count();
+        let open =
+            self.connections.iter().filter(|(_, connection)| !connection.state.phase().is_closing()).count();
         if open > self.max_connections / 2 {
             Some(IDLE_TIMEOUT_CROWDED)
         } else if open > self.max_connections / 4 {
@@ -55,6 +56,6 @@
     /// Returns whether the connection has been idle for the timeout. Clients that have sent no query yet are
     /// left out: they have a deadline of their own.
     fn has_been_idle(&self, timeout: Duration, now: Instant) -> bool {
-        self.has_queried && self.is_idle() && now >= self.last_active + timeout
+        self.state.has_queried() && self.is_idle() && now >= self.last_active + timeout
     }
 }
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -2,6 +2,7 @@
 //!
 //! - [`acceptor`]: accepts new connections up to the connection limit.
 //! - [`connection`]: one client connection and its read, process and write cycle.
+//! - [`protocol_state`]: the state of a connection and its legal transitions.
 //! - [`session`]: what each message of a client leads to.
 //! - [`response`]: writes responses and errors to the output buffer.
 //! - [`deadline`]: limits the time that a client may take.
@@ -15,6 +16,7 @@
 mod deadline;
 mod idle;
 mod log_limiter;
+mod protocol_state;
 mod response;
 mod session;
 
@@ -30,7 +32,8 @@
 use super::{Context, Event, Response};
 use crate::counters::Counters;
 use acceptor::Acceptor;
-use connection::{Connection, ConnectionClosed, State};
+use connection::{Connection, ConnectionClosed};
+use protocol_state::Phase;
 
 /// Whether the pooler can execute queries.
 #[derive(Clone, Copy, Default)]
@@ -116,7 +119,7 @@
     /// Sends the final response to the query of a connection.
     pub fn respond(&mut self, id: ConnectionId, response: Response, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if connection.state != State::Busy {
+        if connection.state.phase() != Phase::Busy {
             return;
         }
         count_response(&response, &mut context.counters);
@@ -129,7 +132,7 @@
     pub fn find_by_cancel_key(&self, key: CancelKey) -> Option<ConnectionId> {
         self.connections
             .iter()
-            .find(|(_, connection)| connection.cancel_key == key && connection.state == State::Busy)
+            .find(|(_, connection)| connection.cancel_key == key && connection.state.phase() == Phase::Busy)
             .map(|(id, _)| id)
     }
 
@@ -142,7 +145,7 @@
         let waiting: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.state == State::AwaitingEndpoints)
+            .filter(|(_, connection)| connection.state.phase() == Phase::AwaitingEndpoints)
             .map(|(id, _)| id)
             .collect();
         for id in waiting {
@@ -174,7 +177,7 @@
     /// Returns the clients whose running query has more input behind it.
     pub fn clients_with_waiting_input(&self) -> Vec<ConnectionId> {
         let has_waiting_input =
-            |connection: &Connection| connection.state == State::Busy && !connection.input.is_empty();
+            |connection: &Connection| connection.state.phase() == Phase::Busy && !connection.input.is_empty();
         let waiting = self.connections.iter().filter(|(_, connection)| has_waiting_input(connection));
         waiting.map(|(id, _)| id).collect()
     }
@@ -188,7 +191,7 @@
         context: &mut Context,
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let is_busy = connection.state == State::Busy;
+        let is_busy = connection.state.phase() == Phase::Busy;
         if self.service.drain.is_some() && result.is_ok() && connection.can_close() {
             connection.start_closing(id, context);
             result = connection.poll(id, self.service, context);
--- a/src/net/frontend/response.rs
+++ b/src/net/frontend/response.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::connection::{Connection, ConnectionClosed, State};
+use super::connection::{Connection, ConnectionClosed};
 use crate::net::postgres::{self, sqlstate};
 use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Response};
@@ -12,7 +12,7 @@
 impl Connection {
     /// Writes the final response to the running query.
     pub(super) fn respond(&mut self, response: Response) -> Result<(), ConnectionClosed> {
-        self.state = State::Idle;
+        self.state.finish_query();
         match response {
             Response::Value(value) => self.send_value(value),
             Response::Rejected { retry_after } => {
@@ -30,8 +30,7 @@
 
     /// Writes the response to an empty query.
     pub(super) fn respond_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
-        self.state = State::Idle;
-        self.has_queried = true;
+        self.state.finish_empty_query();
         let response = [postgres::empty_query_response(), postgres::ready_for_query()].concat();
         Ok(self.output.push(&response)?)
     }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -2,7 +2,8 @@
 
 use std::time::Instant;
 
-use super::connection::{Connection, ConnectionClosed, State};
+use super::connection::{Connection, ConnectionClosed};
+use super::protocol_state::Phase;
 use super::ServiceStatus;
 use crate::net::postgres::message_kind::client;
 use crate::net::postgres::{self, sqlstate, FrameError, Message, ParsedQuery, Startup};
@@ -55,12 +56,12 @@
 
     /// Takes the next message off the input buffer if it is complete and the state allows to process it.
     fn next_message(&mut self) -> Result<Option<ClientMessage>, FrameError> {
-        match self.state {
-            State::Startup => Ok(postgres::read_startup(&mut self.input)?.map(ClientMessage::Startup)),
-            State::Idle | State::SkippingToSync => {
+        match self.state.phase() {
+            Phase::Startup => Ok(postgres::read_startup(&mut self.input)?.map(ClientMessage::Startup)),
+            Phase::Idle | Phase::SkippingToSync => {
                 Ok(postgres::read_client_message(&mut self.input)?.map(ClientMessage::Regular))
             }
-            State::AwaitingEndpoints | State::Busy | State::Closing { .. } => Ok(None),
+            Phase::AwaitingEndpoints | Phase::Busy | Phase::Closing | Phase::HalfClosed => Ok(None),
         }
     }
 
@@ -89,7 +90,7 @@
             Startup::Encryption => Ok(self.output.push(b"N")?),
             Startup::Session => {
                 self.output.push(&postgres::session_start(self.cancel_key))?;
-                self.state = State::Idle;
+                self.state.start_session();
                 Ok(())
             }
             Startup::Cancel(key) => {
@@ -112,10 +113,10 @@
         match message.kind {
             client::TERMINATE => Err(ConnectionClosed),
             client::SYNC => {
-                self.state = State::Idle;
+                self.state.sync();
                 Ok(self.output.push(&postgres::ready_for_query())?)
             }
-            _ if self.state == State::SkippingToSync => Ok(()),
+            _ if self.state.phase() == Phase::SkippingToSync => Ok(()),
             client::QUERY => self.process_query(&message.body, id, service, context),
             client::PARSE | client::BIND | client::DESCRIBE | client::EXECUTE | client::CLOSE => {
                 self.reject_extended_query()
@@ -133,7 +134,7 @@
 
     /// Rejects a message of the extended protocol. ReadyForQuery follows with the next Sync.
     fn reject_extended_query(&mut self) -> Result<(), ConnectionClosed> {
-        self.state = State::SkippingToSync;
+        self.state.skip_to_sync();
         let message = "only simple queries are served";
         let error = postgres::error_response("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, message, None);
         Ok(self.output.push(&error)?)
@@ -149,7 +150,7 @@
         match postgres::parse_query(body) {
             Ok(ParsedQuery::Empty) if service.ready => self.respond_to_empty_query(),
             Ok(ParsedQuery::Empty) => {
-                self.state = State::AwaitingEndpoints;
+                self.state.await_endpoints();
                 Ok(())
             }
             Ok(ParsedQuery::Query(query)) => self.start_query(query, id, service, context),
@@ -179,8 +180,7 @@
             return self.send_error(sqlstate::TOO_MANY_CONNECTIONS, "no memory", None);
         };
         query.statement.memory = Some(memory);
-        self.state = State::Busy;
-        self.has_queried = true;
+        self.state.start_query();
         context.events.push_back(Event::QueryReceived { client: id, query, received_at });
         Ok(())
     }
