--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -10,6 +10,7 @@
 use super::connection::Connection;
 use super::log_limiter::LogLimiter;
 use super::protocol_state::Phase;
+use super::session::Session;
 use super::Frontend;
 use crate::net::postgres::CancelKey;
 use crate::net::reactor::{ConnectionId, EventSource, TimerEvent};
@@ -152,15 +153,14 @@
         if self.connections.len() < self.max_connections {
             return Room::Available;
         }
-        let closing = self.least_recently_active(|connection| connection.state.phase() == Phase::HalfClosed);
-        let replaced = closing.or_else(|| self.least_recently_active(Connection::is_idle));
+        let closing = self.least_recently_active(|session| session.phase() == Phase::HalfClosed);
+        let replaced = closing.or_else(|| self.least_recently_active(Session::is_idle));
         replaced.map_or(Room::Full, Room::Replace)
     }
 
     fn is_replaceable(&mut self, id: ConnectionId) -> bool {
-        self.connections
-            .get_mut(id)
-            .is_some_and(|connection| connection.state.phase() == Phase::HalfClosed || connection.is_idle())
+        let Some(connection) = self.connections.get_mut(id) else { return false };
+        connection.session().phase() == Phase::HalfClosed || connection.session().is_idle()
     }
 
     fn warn_all_busy(&mut self, now: Instant) {
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -1,104 +1,82 @@
-//! One client connection: its state, and the cycle that reads, processes and writes.
+//! One client connection: the cycle that reads, processes and writes without blocking.
+//!
+//! It owns the socket, the session that is spoken over it, and the client's deadline. Only this module moves
+//! bytes between the socket and the session, and sets the timers of the connection.
 
-use std::io;
-use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
-use mio::Interest;
 
-use super::arrivals::ArrivalTimes;
 use super::deadline::ClientDeadline;
-use super::protocol_state::{Phase, ProtocolState};
-use super::session::Progress;
-use super::ServiceStatus;
-use crate::net::buffer::{CapacityExceeded, MemoryBudget, ReadStatus, RingBuffer};
-use crate::net::postgres::{self, sqlstate, CancelKey, Startup};
-use crate::net::reactor::{ConnectionId, EventSource, TimerEvent};
-use crate::net::{Context, Event};
-
-/// Delay before the socket is registered again after the system had no memory for it.
-const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(20);
-
-/// The connection is closed or broken and has to be removed.
-#[derive(Debug, thiserror::Error)]
-#[error("the client connection is closed")]
-pub(super) struct ConnectionClosed;
-
-impl From<CapacityExceeded> for ConnectionClosed {
-    fn from(_: CapacityExceeded) -> ConnectionClosed {
-        ConnectionClosed
-    }
-}
-
-impl From<io::Error> for ConnectionClosed {
-    fn from(_: io::Error) -> ConnectionClosed {
-        ConnectionClosed
-    }
+use super::error::ConnectionClosed;
+use super::output::FlushStatus;
+use super::protocol_state::Phase;
+use super::service_status::ServiceStatus;
+use super::session::{MessageStatus, Session};
+use super::socket::ClientSocket;
+use crate::net::buffer::{MemoryBudget, ReadStatus};
+use crate::net::postgres::CancelKey;
+use crate::net::reactor::{ConnectionId, TimerEvent};
+use crate::net::{Context, Response};
+
+/// Most messages of one connection that are processed in one poll. Keeps a client that sends without pause
+/// from blocking the event loop.
+const MAX_MESSAGES_PER_POLL: usize = 32;
+
+/// Why the processing of messages has stopped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Progress {
+    /// It has to wait for the client or for a response.
+    Blocked,
+    /// [`MAX_MESSAGES_PER_POLL`] messages were processed and there may be more.
+    LimitReached,
 }
 
 /// A client connection.
 pub(super) struct Connection {
-    stream: TcpStream,
-    /// The key that a request to cancel the connection's query has to carry.
-    pub(super) cancel_key: CancelKey,
-    pub(super) input: RingBuffer,
-    pub(super) arrival_times: ArrivalTimes,
-    pub(super) output: RingBuffer,
-    pub(super) state: ProtocolState,
-    /// Whether the reactor announces events of the socket. Until then the connection is polled by a timer.
-    is_registered: bool,
+    socket: ClientSocket,
+    session: Session,
+    deadline: ClientDeadline,
     /// Whether a timer is set to poll again, since no event announces the input that is left.
-    pub(super) poll_scheduled: bool,
-    /// When the client last sent something or was last sent a response.
-    pub(super) last_active: Instant,
-    pub(super) deadline: ClientDeadline,
-    /// How long the client may take to read its responses.
-    pub(super) response_timeout: Duration,
+    poll_scheduled: bool,
 }
 
 impl Connection {
-    /// Creates the connection of a newly accepted client.
+    /// Creates the connection of a client that was accepted at `now`. The client may take `response_timeout` to
+    /// read its responses.
     pub(super) fn new(
         stream: TcpStream,
         cancel_key: CancelKey,
         budget: &MemoryBudget,
         response_timeout: Duration,
         now: Instant,
-    ) -> Self {
+    ) -> Connection {
         Connection {
-            stream,
-            cancel_key,
-            input: RingBuffer::new(budget),
-            arrival_times: ArrivalTimes::default(),
-            output: RingBuffer::new(budget),
-            state: ProtocolState::new(),
-            is_registered: false,
+            socket: ClientSocket::new(stream),
+            session: Session::new(cancel_key, budget, now),
+            deadline: ClientDeadline::new(response_timeout),
             poll_scheduled: false,
-            last_active: now,
-            deadline: ClientDeadline::default(),
-            response_timeout,
         }
     }
 
-    /// Registers the socket with the reactor, unless it is registered. If that fails, it is tried again with
-    /// the next poll: the client must not suffer from a shortage that passes.
-    fn ensure_registered(&mut self, id: ConnectionId, context: &mut Context) {
-        if self.is_registered {
-            return;
-        }
-        let interest = Interest::READABLE | Interest::WRITABLE;
-        let source = EventSource::Client(id);
-        self.is_registered = context.reactor.register(&mut self.stream, source, interest).is_ok();
-        if !self.is_registered {
-            let retry_at = context.reactor.now() + REGISTER_RETRY_DELAY;
-            context.reactor.set_timer(retry_at, TimerEvent::Client(id));
-        }
+    /// Returns the session, to look at its state.
+    pub(super) fn session(&self) -> &Session {
+        &self.session
     }
 
-    /// Whether a timer, and no event, announces that the connection is to be polled.
+    /// Returns whether a timer, and no event, announces that the connection is to be polled.
     pub(super) fn is_polled_by_timer(&self) -> bool {
-        self.poll_scheduled || !self.is_registered
+        self.poll_scheduled || !self.socket.is_registered()
+    }
+
+    /// Returns whether the client has not done in time what was due from it.
+    pub(super) fn has_missed_deadline(&self, now: Instant) -> bool {
+        self.deadline.has_expired(now)
+    }
+
+    /// Returns whether the connection can be closed in a graceful shutdown: every query received is answered.
+    pub(super) fn can_close(&self) -> bool {
+        !self.poll_scheduled && self.session.is_drained()
     }
 
     /// Reads, processes and writes as much as possible without blocking.
@@ -108,22 +86,23 @@
         service: ServiceStatus,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
-        self.ensure_registered(id, context);
+        self.socket.ensure_registered(id, &mut context.reactor);
         let now = context.reactor.now();
         self.poll_scheduled = false;
-        while !self.state.phase().is_closing() {
-            let status = self.read_input(now)?;
-            let length_before = self.input.len();
-            if self.process_messages(id, service, context)? == Progress::TurnOver {
+        while !self.session.phase().is_closing() {
+            let status = self.session.read_from(&mut self.socket, now)?;
+            let unprocessed_before = self.session.unprocessed_bytes();
+            if self.process_messages(id, service, context)? == Progress::LimitReached {
                 self.schedule_poll(id, now, context);
                 return Ok(());
             }
-            // Events are edge-triggered: what a full buffer has left in the socket must be read now that
-            // there is room, since no event announces it again.
+            // Events are edge-triggered: what a full buffer has left in the socket must be read now that some of
+            // the buffer is free, since no event announces it again.
             if status == ReadStatus::WouldBlock {
                 return Ok(());
             }
-            if self.input.len() == length_before && !self.handle_full_input(id, context)? {
+            let is_stuck = self.session.unprocessed_bytes() == unprocessed_before;
+            if is_stuck && !self.close_if_message_cannot_fit(id, context)? {
                 return Ok(());
             }
         }
@@ -131,32 +110,36 @@
         self.discard_input(id, now, context)
     }
 
-    /// Reads what has arrived and records when.
-    fn read_input(&mut self, now: Instant) -> Result<ReadStatus, ConnectionClosed> {
-        let received_before = self.input.total_received();
-        let status = self.input.read_from(&mut self.stream)?;
-        if status == ReadStatus::EndOfStream {
-            return Err(ConnectionClosed);
-        }
-        let received = self.input.total_received();
-        self.arrival_times.record(received, self.input.total_consumed(), now);
-        if received > received_before {
-            self.last_active = now;
+    /// Processes the messages in the input one by one. Each is taken only when all responses so far are
+    /// written: a client that sends and does not read fills its buffers and no more.
+    fn process_messages(
+        &mut self,
+        id: ConnectionId,
+        service: ServiceStatus,
+        context: &mut Context,
+    ) -> Result<Progress, ConnectionClosed> {
+        for _ in 0..MAX_MESSAGES_PER_POLL {
+            if self.flush()? != FlushStatus::Complete {
+                return Ok(Progress::Blocked);
+            }
+            if self.session.process_next_message(id, service, context)? == MessageStatus::Blocked {
+                return Ok(Progress::Blocked);
+            }
+            if self.session.phase().is_closing() {
+                self.update_deadline(id, context);
+            }
         }
-        Ok(status)
+        Ok(Progress::LimitReached)
     }
 
-    /// Handles a full input buffer of which nothing could be processed. If the client is to send the rest of
-    /// a message, that rest will never fit: the connection is closed, so that it does not keep its memory.
-    /// Returns whether it is.
-    fn handle_full_input(
+    fn close_if_message_cannot_fit(
         &mut self,
         id: ConnectionId,
         context: &mut Context,
     ) -> Result<bool, ConnectionClosed> {
-        let is_closing = self.state.phase().is_reading() && self.output.is_empty();
+        let is_closing = self.session.close_if_message_cannot_fit(&mut context.counters)?;
         if is_closing {
-            self.send_fatal_error(id, sqlstate::OUT_OF_MEMORY, "no memory", context)?;
+            self.update_deadline(id, context);
         }
         Ok(is_closing)
     }
@@ -169,67 +152,72 @@
         now: Instant,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
-        match self.input.read_from(&mut self.stream)? {
-            ReadStatus::EndOfStream => return Err(ConnectionClosed),
-            ReadStatus::Full if !self.input.is_empty() => self.schedule_poll(id, now, context),
-            ReadStatus::Full | ReadStatus::WouldBlock => {}
+        if self.session.discard_from(&mut self.socket)? {
+            self.schedule_poll(id, now, context);
         }
-        self.input.skip(self.input.len());
         Ok(())
     }
 
-    /// Polls again after the other connections have had their turn.
+    /// Polls again after the other connections were polled.
     fn schedule_poll(&mut self, id: ConnectionId, now: Instant, context: &mut Context) {
         self.poll_scheduled = true;
         context.reactor.set_timer(now, TimerEvent::Client(id));
     }
 
-    /// Writes the output buffer to the socket. Returns whether all of it is written.
-    pub(super) fn flush(&mut self) -> Result<bool, ConnectionClosed> {
-        let length_before = self.output.len();
-        let is_flushed = self.output.write_to(&mut self.stream)?;
-        match self.state.phase() {
-            Phase::Closing if is_flushed => self.shut_down_write(),
-            Phase::HalfClosed => {}
+    /// Writes the output to the socket, and shuts down the sending direction of a closing connection once all of
+    /// it is written.
+    fn flush(&mut self) -> Result<FlushStatus, ConnectionClosed> {
+        let status = self.session.write_to(&mut self.socket)?;
+        match status {
+            // Once only: each shutdown raises an event for this connection, which would be polled endlessly.
+            FlushStatus::Complete if self.session.phase() == Phase::Closing => {
+                self.socket.half_close();
+                self.session.half_close();
+            }
             // A client that reads slowly does read: its time starts anew.
-            _ if !is_flushed && self.output.len() < length_before => self.deadline.clear(),
-            _ => {}
+            FlushStatus::Partial => self.deadline.clear(),
+            FlushStatus::Complete | FlushStatus::Blocked => {}
         }
-        Ok(is_flushed)
+        Ok(status)
     }
 
-    /// Ends the sending direction only. Closing the socket with unread input would reset the connection, and
-    /// the client might lose the last message.
-    ///
-    /// To be done once: each shutdown raises an event for this connection, which would be polled endlessly.
-    fn shut_down_write(&mut self) {
-        let _ = self.stream.shutdown(Shutdown::Write);
-        self.state.half_close();
+    /// Adds the final response to the running query. The next poll writes it.
+    pub(super) fn respond(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+        self.session.respond(response, now)
     }
 
-    /// Reads a cancel request from a connection that is removed before it was processed: its client may close
-    /// the connection right after sending the request.
-    pub(super) fn read_final_cancel_request(&mut self, context: &mut Context) {
-        if self.state.phase() != Phase::Startup {
-            return;
-        }
-        let _ = self.input.read_from(&mut self.stream);
-        if let Ok(Some(Startup::Cancel(key))) = postgres::read_startup(&mut self.input) {
-            context.events.push_back(Event::CancelRequested(key));
-        }
+    /// Adds the response to an empty query that has waited for an endpoint. The next poll writes it.
+    pub(super) fn respond_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), ConnectionClosed> {
+        self.session.respond_to_waiting_empty_query(now)
     }
 
-    /// Returns whether the connection is between queries, with no input or output pending.
-    pub(super) fn is_idle(&self) -> bool {
-        self.state.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
+    /// Starts to close the connection. The client has time to read what it has been sent.
+    pub(super) fn start_closing(&mut self, id: ConnectionId, context: &mut Context) {
+        self.session.start_closing();
+        self.update_deadline(id, context);
     }
 
-    /// Returns whether the connection can be closed in a graceful shutdown: every query received is answered,
-    /// although the answer may be still to be written. An incomplete message is not a query.
-    pub(super) fn can_close(&self) -> bool {
-        if self.state.phase() == Phase::Busy || self.state.phase().is_closing() || self.poll_scheduled {
-            return false;
+    /// Closes the connection of a client that has not acted in time.
+    pub(super) fn handle_missed_deadline(
+        &mut self,
+        id: ConnectionId,
+        context: &mut Context,
+    ) -> Result<(), ConnectionClosed> {
+        self.session.close_late_client(&mut context.counters)?;
+        self.update_deadline(id, context);
+        Ok(())
+    }
+
+    /// Sets a deadline if something has become due from the client, and clears it if nothing is due any more.
+    pub(super) fn update_deadline(&mut self, id: ConnectionId, context: &mut Context) {
+        let action = self.session.due_action();
+        if let Some(expires_at) = self.deadline.update(action, context.reactor.now()) {
+            context.reactor.set_timer(expires_at, TimerEvent::Client(id));
         }
-        self.output.is_empty() || self.input.is_empty()
+    }
+
+    /// Passes on a cancel request that is still unread in a connection that is removed.
+    pub(super) fn process_final_cancel_request(&mut self, context: &mut Context) {
+        self.session.process_final_cancel_request(&mut self.socket, context);
     }
 }
--- /dev/null
+++ b/src/net/frontend/input.rs
@@ -0,0 +1,103 @@
+//! The input of a client connection: bytes that are not processed yet, and when they were received.
+
+use std::io::Read;
+use std::time::Instant;
+
+use super::arrivals::ArrivalTimes;
+use super::error::ConnectionClosed;
+use crate::net::buffer::{CapacityExceeded, MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
+use crate::net::postgres::{self, FrameError, Message, Startup};
+
+/// The input buffer with its arrival times.
+pub(super) struct Input {
+    buffer: RingBuffer,
+    arrival_times: ArrivalTimes,
+    last_received_at: Instant,
+}
+
+impl Input {
+    /// Creates an empty input at `now`. Its memory counts against the budget.
+    pub(super) fn new(budget: &MemoryBudget, now: Instant) -> Input {
+        Input {
+            buffer: RingBuffer::new(budget),
+            arrival_times: ArrivalTimes::default(),
+            last_received_at: now,
+        }
+    }
+
+    /// Returns the number of bytes that are not processed.
+    pub(super) fn len(&self) -> usize {
+        self.buffer.len()
+    }
+
+    /// Returns whether all input is processed.
+    pub(super) fn is_empty(&self) -> bool {
+        self.buffer.is_empty()
+    }
+
+    /// Returns when input was last received, or when the connection was accepted if there was none.
+    pub(super) fn last_received_at(&self) -> Instant {
+        self.last_received_at
+    }
+
+    /// Reads what has arrived, and records `now` as the time of its arrival. Fails if the source has ended.
+    pub(super) fn read_from(
+        &mut self,
+        source: &mut impl Read,
+        now: Instant,
+    ) -> Result<ReadStatus, ConnectionClosed> {
+        let received_before = self.buffer.total_received();
+        let status = self.buffer.read_from(source)?;
+        if status == ReadStatus::EndOfStream {
+            return Err(ConnectionClosed);
+        }
+        let received = self.buffer.total_received();
+        self.arrival_times.record(received, self.buffer.total_consumed(), now);
+        if received > received_before {
+            self.last_received_at = now;
+        }
+        Ok(status)
+    }
+
+    /// Reads at most one buffer and discards it. Returns whether more may be left in the source. Fails if the
+    /// source has ended.
+    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
+        let status = self.buffer.read_from(source)?;
+        if status == ReadStatus::EndOfStream {
+            return Err(ConnectionClosed);
+        }
+        let may_have_more = status == ReadStatus::Full && !self.buffer.is_empty();
+        self.buffer.skip(self.buffer.len());
+        Ok(may_have_more)
+    }
+
+    /// Reads the rest of a source that has ended or failed, and takes the startup message in it if there is one.
+    pub(super) fn take_final_startup(&mut self, source: &mut impl Read) -> Option<Startup> {
+        let _ = self.buffer.read_from(source);
+        self.take_startup().ok().flatten()
+    }
+
+    /// Takes the startup message, or returns `None` until it is complete.
+    pub(super) fn take_startup(&mut self) -> Result<Option<Startup>, FrameError> {
+        postgres::read_startup(&mut self.buffer)
+    }
+
+    /// Takes the next message, or returns `None` until it is complete.
+    pub(super) fn take_message(&mut self) -> Result<Option<Message>, FrameError> {
+        postgres::read_client_message(&mut self.buffer)
+    }
+
+    /// Returns when the last byte of the message that was just taken was received.
+    pub(super) fn message_received_at(&mut self) -> Instant {
+        let arrived_at = self.arrival_times.received_at(self.buffer.total_consumed());
+        arrived_at.unwrap_or(self.last_received_at)
+    }
+
+    /// Reserves `bytes` of the budget for a message that is taken out and stored elsewhere.
+    pub(super) fn reserve_memory(&self, bytes: usize) -> Result<MemoryReservation, CapacityExceeded> {
+        self.buffer.reserve_memory(bytes)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -1,24 +1,32 @@
 //! The client side of the pooler: accepts connections, reads queries and writes responses.
 //!
-//! - [`acceptor`]: accepts new connections up to the connection limit.
-//! - [`connection`]: one client connection and its read, process and write cycle.
-//! - [`protocol_state`]: the state of a connection and its legal transitions.
-//! - [`session`]: what each message of a client leads to.
-//! - [`response`]: writes responses and errors to the output buffer.
-//! - [`deadline`]: limits the time that a client may take.
-//! - [`idle`]: closes idle connections when many are open.
-//! - [`arrivals`]: remembers when input was received.
-//! - [`log_limiter`]: limits how often a warning is logged.
+//! Each module uses only modules below it, apart from the types at the end:
+//!
+//! - [`Frontend`], with [`acceptor`] and [`idle`]: which connections there are.
+//!   - [`acceptor`]: accepts new connections up to the connection limit.
+//!   - [`idle`]: closes idle connections when many are open.
+//! - [`connection`]: the read, process and write cycle of one connection. Owns the three that follow:
+//!   - [`socket`]: the socket and its registration with the reactor.
+//!   - [`session`]: what each message of a client leads to. Owns the three that follow:
+//!     - [`protocol_state`]: the phase of the protocol and its legal transitions.
+//!     - [`input`]: bytes received and not yet processed, with their [`arrivals`].
+//!     - [`output`]: responses and errors that are still to be written.
+//!   - [`deadline`]: what is due from the client, and until when.
+//! - [`service_status`], [`error`], [`log_limiter`]: used by several of them.
 
 mod acceptor;
 mod arrivals;
 mod connection;
 mod deadline;
+mod error;
 mod idle;
+mod input;
 mod log_limiter;
+mod output;
 mod protocol_state;
-mod response;
+mod service_status;
 mod session;
+mod socket;
 
 use std::io;
 use std::time::Duration;
@@ -32,17 +40,11 @@
 use super::{Context, Event, Response};
 use crate::counters::Counters;
 use acceptor::Acceptor;
-use connection::{Connection, ConnectionClosed};
+use connection::Connection;
+use error::ConnectionClosed;
 use protocol_state::Phase;
-
-/// Whether the pooler can execute queries.
-#[derive(Clone, Copy, Default)]
-struct ServiceStatus {
-    /// Set once there is an endpoint to which queries can be sent.
-    ready: bool,
-    /// Set once the connections are drained for the shutdown.
-    drain: Option<Drain>,
-}
+use service_status::ServiceStatus;
+use session::Session;
 
 /// All client connections, and the acceptor of new ones.
 pub(crate) struct Frontend {
@@ -107,7 +109,7 @@
         }
         let Some(connection) = self.connections.get_mut(id) else { return };
         // Timers are not cancelled: this one may belong to an earlier deadline.
-        if !connection.deadline.has_expired(now) {
+        if !connection.has_missed_deadline(now) {
             return;
         }
         let result = connection
@@ -119,12 +121,13 @@
     /// Sends the final response to the query of a connection.
     pub fn respond(&mut self, id: ConnectionId, response: Response, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if connection.state.phase() != Phase::Busy {
+        if connection.session().phase() != Phase::Busy {
             return;
         }
         count_response(&response, &mut context.counters);
-        connection.last_active = context.reactor.now();
-        let result = connection.respond(response).and_then(|()| connection.poll(id, self.service, context));
+        let result = connection
+            .respond(response, context.reactor.now())
+            .and_then(|()| connection.poll(id, self.service, context));
         self.finish_poll(id, result, context);
     }
 
@@ -132,7 +135,7 @@
     pub fn find_by_cancel_key(&self, key: CancelKey) -> Option<ConnectionId> {
         self.connections
             .iter()
-            .find(|(_, connection)| connection.cancel_key == key && connection.state.phase() == Phase::Busy)
+            .find(|(_, connection)| connection.session().is_cancelled_by(key))
             .map(|(id, _)| id)
     }
 
@@ -145,7 +148,7 @@
         let waiting: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(|(_, connection)| connection.state.phase() == Phase::AwaitingEndpoints)
+            .filter(|(_, connection)| connection.session().phase() == Phase::AwaitingEndpoints)
             .map(|(id, _)| id)
             .collect();
         for id in waiting {
@@ -155,9 +158,9 @@
 
     fn respond_to_empty_query(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        connection.last_active = context.reactor.now();
-        let result =
-            connection.respond_to_empty_query().and_then(|()| connection.poll(id, self.service, context));
+        let result = connection
+            .respond_to_waiting_empty_query(context.reactor.now())
+            .and_then(|()| connection.poll(id, self.service, context));
         self.finish_poll(id, result, context);
     }
 
@@ -176,9 +179,8 @@
 
     /// Returns the clients whose running query has more input behind it.
     pub fn clients_with_waiting_input(&self) -> Vec<ConnectionId> {
-        let has_waiting_input =
-            |connection: &Connection| connection.state.phase() == Phase::Busy && !connection.input.is_empty();
-        let waiting = self.connections.iter().filter(|(_, connection)| has_waiting_input(connection));
+        let connections = self.connections.iter();
+        let waiting = connections.filter(|(_, connection)| connection.session().has_input_behind_query());
         waiting.map(|(id, _)| id).collect()
     }
 
@@ -191,7 +193,7 @@
         context: &mut Context,
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let is_busy = connection.state.phase() == Phase::Busy;
+        let is_busy = connection.session().phase() == Phase::Busy;
         if self.service.drain.is_some() && result.is_ok() && connection.can_close() {
             connection.start_closing(id, context);
             result = connection.poll(id, self.service, context);
@@ -202,7 +204,7 @@
             if is_busy {
                 context.events.push_back(Event::ClientDisconnected(id));
             }
-            connection.read_final_cancel_request(context);
+            connection.process_final_cancel_request(context);
             self.connections.remove(id);
         }
         if is_closed || !is_busy {
@@ -211,11 +213,11 @@
     }
 
     /// Returns the matching connection that has been inactive for longest.
-    fn least_recently_active(&self, matches: impl Fn(&Connection) -> bool) -> Option<ConnectionId> {
+    fn least_recently_active(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
         self.connections
             .iter()
-            .filter(|(_, connection)| matches(connection))
-            .min_by_key(|(_, connection)| connection.last_active)
+            .filter(|(_, connection)| matches(connection.session()))
+            .min_by_key(|(_, connection)| connection.session().last_active_at())
             .map(|(id, _)| id)
     }
 }
--- /dev/null
+++ b/src/net/frontend/output.rs
@@ -0,0 +1,149 @@
+//! The output of a client connection: encodes responses and errors, and writes them to the socket.
+
+use std::io::Write;
+use std::time::Duration;
+
+use super::error::ConnectionClosed;
+use crate::net::buffer::{MemoryBudget, RingBuffer};
+use crate::net::postgres::{self, sqlstate, CancelKey};
+use crate::net::Response;
+
+const NANOS_PER_MILLISECOND: u128 = 1_000_000;
+
+/// Severity of an error after which the client may go on.
+const SEVERITY_ERROR: &str = "ERROR";
+/// Severity of an error after which the connection is closed.
+const SEVERITY_FATAL: &str = "FATAL";
+/// The answer to a request for encryption that the pooler declines.
+const ENCRYPTION_DECLINED: &[u8] = b"N";
+
+/// What came of writing the output to the socket.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FlushStatus {
+    /// All output is written.
+    Complete,
+    /// The socket has taken a part of the output, and takes no more at present.
+    Partial,
+    /// The socket takes nothing at present.
+    Blocked,
+}
+
+/// The output buffer. Each `push` method fails if the buffer or the memory budget has no capacity left.
+pub(super) struct Output {
+    buffer: RingBuffer,
+}
+
+impl Output {
+    /// Creates an empty output. Its memory counts against the budget.
+    pub(super) fn new(budget: &MemoryBudget) -> Output {
+        Output { buffer: RingBuffer::new(budget) }
+    }
+
+    /// Returns whether all output is written.
+    pub(super) fn is_empty(&self) -> bool {
+        self.buffer.is_empty()
+    }
+
+    /// Writes as much as the sink takes without blocking.
+    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, ConnectionClosed> {
+        let length_before = self.buffer.len();
+        if self.buffer.write_to(sink)? {
+            return Ok(FlushStatus::Complete);
+        }
+        let is_partial = self.buffer.len() < length_before;
+        Ok(if is_partial { FlushStatus::Partial } else { FlushStatus::Blocked })
+    }
+
+    /// Declines a request for encryption: the client may go on without.
+    pub(super) fn push_encryption_declined(&mut self) -> Result<(), ConnectionClosed> {
+        self.push(ENCRYPTION_DECLINED)
+    }
+
+    /// Confirms the start of a session.
+    pub(super) fn push_session_start(&mut self, cancel_key: CancelKey) -> Result<(), ConnectionClosed> {
+        self.push(&postgres::session_start(cancel_key))
+    }
+
+    /// Tells the client that it may send the next query.
+    pub(super) fn push_ready_for_query(&mut self) -> Result<(), ConnectionClosed> {
+        self.push(&postgres::ready_for_query())
+    }
+
+    /// Answers an empty query.
+    pub(super) fn push_empty_query_response(&mut self) -> Result<(), ConnectionClosed> {
+        self.push(&[postgres::empty_query_response(), postgres::ready_for_query()].concat())
+    }
+
+    /// Answers a query.
+    pub(super) fn push_response(&mut self, response: Response) -> Result<(), ConnectionClosed> {
+        match response {
+            Response::Value(value) => self.push_value(value),
+            Response::Rejected { retry_after } => {
+                self.push_rejection(sqlstate::TOO_MANY_CONNECTIONS, "refused: try again later", retry_after)
+            }
+            Response::Failed => self.push_error(sqlstate::SYSTEM_ERROR, "failed: it may have run"),
+            Response::Cancelled => self.push_error(sqlstate::QUERY_CANCELED, "cancelled as its client asked"),
+            Response::Invalid(reason) => {
+                self.push_error(sqlstate::INVALID_PARAMETER_VALUE, &reason.to_string())
+            }
+        }
+    }
+
+    /// Answers a query or message with an error. The client may send the next query.
+    pub(super) fn push_error(&mut self, code: &str, message: &str) -> Result<(), ConnectionClosed> {
+        self.push_error_with_detail(code, message, None)
+    }
+
+    /// Answers a query with a rejection. The detail says after how many milliseconds to retry, rounded up;
+    /// there is none if `retry_after` is zero.
+    pub(super) fn push_rejection(
+        &mut self,
+        code: &str,
+        message: &str,
+        retry_after: Duration,
+    ) -> Result<(), ConnectionClosed> {
+        let milliseconds = retry_after.as_nanos().div_ceil(NANOS_PER_MILLISECOND);
+        let detail = (milliseconds > 0).then(|| milliseconds.to_string());
+        self.push_error_with_detail(code, message, detail.as_deref())
+    }
+
+    /// Answers a message of the extended protocol with an error. ReadyForQuery follows with the next Sync.
+    pub(super) fn push_error_until_sync(
+        &mut self,
+        code: &str,
+        message: &str,
+    ) -> Result<(), ConnectionClosed> {
+        self.push(&postgres::error_response(SEVERITY_ERROR, code, message, None))
+    }
+
+    /// Reports the error for which the connection is closed.
+    pub(super) fn push_fatal_error(&mut self, code: &str, message: &str) -> Result<(), ConnectionClosed> {
+        self.push(&postgres::error_response(SEVERITY_FATAL, code, message, None))
+    }
+
+    fn push_value(&mut self, mut value: Vec<u8>) -> Result<(), ConnectionClosed> {
+        value.extend(postgres::ready_for_query());
+        if self.buffer.push(&value).is_err() {
+            // The client gets a response even if there is no memory for the value.
+            self.push_error(sqlstate::SYSTEM_ERROR, "no memory for the value")?;
+        }
+        Ok(())
+    }
+
+    fn push_error_with_detail(
+        &mut self,
+        code: &str,
+        message: &str,
+        detail: Option<&str>,
+    ) -> Result<(), ConnectionClosed> {
+        let error = postgres::error_response(SEVERITY_ERROR, code, message, detail);
+        self.push(&[error, postgres::ready_for_query()].concat())
+    }
+
+    fn push(&mut self, bytes: &[u8]) -> Result<(), ConnectionClosed> {
+        Ok(self.buffer.push(bytes)?)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/frontend/output/tests.rs
@@ -0,0 +1,79 @@
+use std::io;
+
+use rstest::rstest;
+
+use super::*;
+
+const MEMORY: usize = 1_000_000;
+
+fn output() -> Output {
+    Output::new(&MemoryBudget::new(MEMORY))
+}
+
+/// A sink that takes so many bytes and then no more for now.
+struct Sink {
+    capacity: usize,
+    written: Vec<u8>,
+}
+
+impl Write for Sink {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        let count = bytes.len().min(self.capacity);
+        if count == 0 {
+            return Err(io::ErrorKind::WouldBlock.into());
+        }
+        self.capacity -= count;
+        self.written.extend(&bytes[..count]);
+        Ok(count)
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        Ok(())
+    }
+}
+
+fn write_all(output: &mut Output) -> Vec<u8> {
+    let mut sink = Sink { capacity: MEMORY, written: Vec::new() };
+    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Complete);
+    sink.written
+}
+
+#[test]
+fn a_sink_takes_all_a_part_or_nothing() {
+    let mut output = output();
+    output.push_response(Response::Value(b"value".to_vec())).unwrap();
+    let mut sink = Sink { capacity: 0, written: Vec::new() };
+    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Blocked);
+    sink.capacity = 3;
+    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Partial);
+    assert!(!output.is_empty());
+    sink.capacity = MEMORY;
+    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Complete);
+    assert!(output.is_empty());
+    assert_eq!(sink.written, [b"value", &*postgres::ready_for_query()].concat());
+}
+
+#[rstest]
+#[case::none(Duration::ZERO, None)]
+#[case::rounded_up(Duration::from_micros(1), Some("1"))]
+#[case::whole_milliseconds(Duration::from_millis(50), Some("50"))]
+#[case::a_little_more(Duration::from_nanos(50_000_001), Some("51"))]
+fn a_rejection_says_after_how_many_milliseconds_to_retry(
+    #[case] retry_after: Duration,
+    #[case] detail: Option<&str>,
+) {
+    let mut output = output();
+    output.push_response(Response::Rejected { retry_after }).unwrap();
+    let code = sqlstate::TOO_MANY_CONNECTIONS;
+    let error = postgres::error_response("ERROR", code, "refused: try again later", detail);
+    assert_eq!(write_all(&mut output), [error, postgres::ready_for_query()].concat());
+}
+
+/// A client whose value does not fit must still get a response.
+#[test]
+fn a_value_without_memory_is_answered_with_an_error() {
+    let mut output = output();
+    output.push_response(Response::Value(vec![0; MEMORY])).unwrap();
+    let error = postgres::error_response("ERROR", sqlstate::SYSTEM_ERROR, "no memory for the value", None);
+    assert_eq!(write_all(&mut output), [error, postgres::ready_for_query()].concat());
+}
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -1,26 +1,31 @@
-//! Processes the messages of a client.
+//! The session of a client: what each of its messages leads to, and what is due from it.
+//!
+//! A session reads messages from its input, changes its protocol state and adds responses to its output. It
+//! neither owns the socket nor sets timers.
 
-use std::time::Instant;
+use std::io::{Read, Write};
+use std::time::{Duration, Instant};
 
-use super::connection::{Connection, ConnectionClosed};
-use super::protocol_state::Phase;
-use super::ServiceStatus;
+use super::deadline::DueAction;
+use super::error::ConnectionClosed;
+use super::input::Input;
+use super::output::{FlushStatus, Output};
+use super::protocol_state::{Phase, ProtocolState};
+use super::service_status::ServiceStatus;
+use crate::counters::Counters;
+use crate::net::buffer::{MemoryBudget, ReadStatus};
 use crate::net::postgres::message_kind::client;
-use crate::net::postgres::{self, sqlstate, FrameError, Message, ParsedQuery, Startup};
+use crate::net::postgres::{self, sqlstate, CancelKey, FrameError, Message, ParsedQuery, Startup};
 use crate::net::reactor::ConnectionId;
-use crate::net::{Context, Event, Query};
+use crate::net::{Context, Event, Query, Response};
 
-/// Most messages of one connection that are processed before the other connections have their turn. Keeps a
-/// client that sends without pause from blocking the event loop.
-const MAX_MESSAGES_PER_TURN: usize = 32;
-
-/// Why the processing of messages has stopped.
+/// What came of looking for a message to process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Progress {
-    /// It has to wait for the client or for a response.
+pub(super) enum MessageStatus {
+    /// A message was processed.
+    Processed,
+    /// The next message is incomplete, or a response or an endpoint must come first.
     Blocked,
-    /// [`MAX_MESSAGES_PER_TURN`] messages were processed and there may be more.
-    TurnOver,
 }
 
 /// A complete message of a client.
@@ -29,67 +34,217 @@
     Regular(Message),
 }
 
-impl Connection {
-    /// Processes the messages in the input buffer one by one. Each is read only when all responses so far are
-    /// written: a client that sends and does not read fills its buffers and no more.
-    pub(super) fn process_messages(
+/// A client's session.
+pub(super) struct Session {
+    /// The key that a request to cancel the session's query has to carry.
+    cancel_key: CancelKey,
+    state: ProtocolState,
+    input: Input,
+    output: Output,
+    /// When the client was last sent a response, or connected if there was none.
+    last_responded_at: Instant,
+}
+
+impl Session {
+    /// Creates the session of a client that was accepted at `now`. Its memory counts against the budget.
+    pub(super) fn new(cancel_key: CancelKey, budget: &MemoryBudget, now: Instant) -> Session {
+        Session {
+            cancel_key,
+            state: ProtocolState::new(),
+            input: Input::new(budget, now),
+            output: Output::new(budget),
+            last_responded_at: now,
+        }
+    }
+
+    /// Returns the phase of the protocol.
+    pub(super) fn phase(&self) -> Phase {
+        self.state.phase()
+    }
+
+    /// Returns when the client last sent something or was last sent a response.
+    pub(super) fn last_active_at(&self) -> Instant {
+        self.input.last_received_at().max(self.last_responded_at)
+    }
+
+    /// Returns whether a cancel request with this key refers to the running query.
+    pub(super) fn is_cancelled_by(&self, key: CancelKey) -> bool {
+        self.cancel_key == key && self.phase() == Phase::Busy
+    }
+
+    /// Returns whether more input has arrived behind the running query.
+    pub(super) fn has_input_behind_query(&self) -> bool {
+        self.phase() == Phase::Busy && !self.input.is_empty()
+    }
+
+    /// Returns whether the session is between queries, with no input or output pending.
+    pub(super) fn is_idle(&self) -> bool {
+        self.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
+    }
+
+    /// Returns whether the session has been idle for the timeout. Clients that have sent no query yet are left
+    /// out: they have a deadline of their own.
+    pub(super) fn has_been_idle(&self, timeout: Duration, now: Instant) -> bool {
+        self.state.has_queried() && self.is_idle() && now >= self.last_active_at() + timeout
+    }
+
+    /// Returns whether every query received is answered, although the answer may be still to be written. An
+    /// incomplete message is not a query.
+    pub(super) fn is_drained(&self) -> bool {
+        if self.phase() == Phase::Busy || self.phase().is_closing() {
+            return false;
+        }
+        self.output.is_empty() || self.input.is_empty()
+    }
+
+    /// Returns what the client has to do next, if anything.
+    pub(super) fn due_action(&self) -> Option<DueAction> {
+        let has_unread_output = !self.output.is_empty();
+        match self.phase() {
+            Phase::Busy | Phase::AwaitingEndpoints => None,
+            Phase::HalfClosed => Some(DueAction::Close),
+            Phase::Closing => Some(DueAction::Read),
+            Phase::Startup | Phase::Idle | Phase::SkippingToSync if has_unread_output => {
+                Some(DueAction::Read)
+            }
+            Phase::Startup => Some(DueAction::Send),
+            Phase::Idle | Phase::SkippingToSync => {
+                (!self.state.has_queried() || !self.input.is_empty()).then_some(DueAction::Send)
+            }
+        }
+    }
+
+    /// Returns the number of bytes that were received and are not processed.
+    pub(super) fn unprocessed_bytes(&self) -> usize {
+        self.input.len()
+    }
+
+    /// Reads what has arrived at `now`. Fails if the client has closed the connection.
+    pub(super) fn read_from(
+        &mut self,
+        source: &mut impl Read,
+        now: Instant,
+    ) -> Result<ReadStatus, ConnectionClosed> {
+        self.input.read_from(source, now)
+    }
+
+    /// Discards what has arrived, at most one buffer. Returns whether more may be left. Fails if the client has
+    /// closed the connection.
+    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
+        self.input.discard_from(source)
+    }
+
+    /// Writes as much output as the sink takes without blocking.
+    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, ConnectionClosed> {
+        self.output.write_to(sink)
+    }
+
+    /// Starts to close the session: no message is processed any more.
+    pub(super) fn start_closing(&mut self) {
+        self.state.start_closing();
+    }
+
+    /// Records that all output of the closing session is sent and the sending direction is shut down.
+    pub(super) fn half_close(&mut self) {
+        self.state.half_close();
+    }
+
+    /// Adds the final response to the running query.
+    pub(super) fn respond(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+        self.last_responded_at = now;
+        self.state.finish_query();
+        self.output.push_response(response)
+    }
+
+    /// Adds the response to an empty query that has waited for an endpoint.
+    pub(super) fn respond_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), ConnectionClosed> {
+        self.last_responded_at = now;
+        self.respond_to_empty_query()
+    }
+
+    /// Closes the session of a client that has not acted in time. An incomplete message is answered with an
+    /// error. A client that has sent nothing gets none: it could be taken for the response to a query.
+    pub(super) fn close_late_client(&mut self, counters: &mut Counters) -> Result<(), ConnectionClosed> {
+        if self.phase().is_closing() {
+            return Err(ConnectionClosed);
+        }
+        counters.client_timeouts += 1;
+        if !self.output.is_empty() {
+            return Err(ConnectionClosed);
+        }
+        if !self.input.is_empty() {
+            let message = "message not completed in time";
+            return self.close_with_error(sqlstate::PROTOCOL_VIOLATION, message, counters);
+        }
+        self.start_closing();
+        Ok(())
+    }
+
+    /// Closes a session whose input buffer is full although the client is to send the rest of a message: that
+    /// rest would never fit, and the buffer would keep its memory. Returns whether it is closed.
+    pub(super) fn close_if_message_cannot_fit(
+        &mut self,
+        counters: &mut Counters,
+    ) -> Result<bool, ConnectionClosed> {
+        let is_closing = self.phase().is_reading() && self.output.is_empty();
+        if is_closing {
+            self.close_with_error(sqlstate::OUT_OF_MEMORY, "no memory", counters)?;
+        }
+        Ok(is_closing)
+    }
+
+    /// Passes on a cancel request that was not processed when the connection was closed: a client may close it
+    /// right after sending the request.
+    pub(super) fn process_final_cancel_request(&mut self, source: &mut impl Read, context: &mut Context) {
+        if self.phase() != Phase::Startup {
+            return;
+        }
+        if let Some(Startup::Cancel(key)) = self.input.take_final_startup(source) {
+            context.events.push_back(Event::CancelRequested(key));
+        }
+    }
+
+    /// Processes the next message if it is complete and the state allows it.
+    pub(super) fn process_next_message(
         &mut self,
         id: ConnectionId,
         service: ServiceStatus,
         context: &mut Context,
-    ) -> Result<Progress, ConnectionClosed> {
-        for _ in 0..MAX_MESSAGES_PER_TURN {
-            if !self.flush()? {
-                return Ok(Progress::Blocked);
-            }
-            match self.next_message() {
-                Ok(None) => return Ok(Progress::Blocked),
-                Ok(Some(ClientMessage::Startup(startup))) => self.process_startup(startup, id, context)?,
-                Ok(Some(ClientMessage::Regular(message))) => {
-                    self.process_message(&message, id, service, context)?;
-                }
-                Err(error) => self.reject_frame(error, id, context)?,
+    ) -> Result<MessageStatus, ConnectionClosed> {
+        match self.next_message() {
+            Ok(None) => return Ok(MessageStatus::Blocked),
+            Ok(Some(ClientMessage::Startup(startup))) => self.process_startup(startup, context)?,
+            Ok(Some(ClientMessage::Regular(message))) => {
+                self.process_message(&message, id, service, context)?;
             }
+            Err(error) => self.reject_frame(error, context)?,
         }
-        Ok(Progress::TurnOver)
+        Ok(MessageStatus::Processed)
     }
 
-    /// Takes the next message off the input buffer if it is complete and the state allows to process it.
+    /// Takes the next message off the input if it is complete and the state allows to process it.
     fn next_message(&mut self) -> Result<Option<ClientMessage>, FrameError> {
-        match self.state.phase() {
-            Phase::Startup => Ok(postgres::read_startup(&mut self.input)?.map(ClientMessage::Startup)),
-            Phase::Idle | Phase::SkippingToSync => {
-                Ok(postgres::read_client_message(&mut self.input)?.map(ClientMessage::Regular))
-            }
+        match self.phase() {
+            Phase::Startup => Ok(self.input.take_startup()?.map(ClientMessage::Startup)),
+            Phase::Idle | Phase::SkippingToSync => Ok(self.input.take_message()?.map(ClientMessage::Regular)),
             Phase::AwaitingEndpoints | Phase::Busy | Phase::Closing | Phase::HalfClosed => Ok(None),
         }
     }
 
-    /// Closes the connection of a client whose input cannot be split into messages.
-    fn reject_frame(
-        &mut self,
-        error: FrameError,
-        id: ConnectionId,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    /// Closes the session of a client whose input cannot be split into messages.
+    fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), ConnectionClosed> {
         let (code, message) = match error {
             FrameError::Malformed => (sqlstate::PROTOCOL_VIOLATION, "malformed message"),
             FrameError::TooLong => (sqlstate::PROGRAM_LIMIT_EXCEEDED, "message too long"),
         };
-        self.send_fatal_error(id, code, message, context)
+        self.close_with_error(code, message, &mut context.counters)
     }
 
-    fn process_startup(
-        &mut self,
-        startup: Startup,
-        id: ConnectionId,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    fn process_startup(&mut self, startup: Startup, context: &mut Context) -> Result<(), ConnectionClosed> {
         match startup {
-            // Encryption is not supported: the client may go on without.
-            Startup::Encryption => Ok(self.output.push(b"N")?),
+            Startup::Encryption => self.output.push_encryption_declined(),
             Startup::Session => {
-                self.output.push(&postgres::session_start(self.cancel_key))?;
+                self.output.push_session_start(self.cancel_key)?;
                 self.state.start_session();
                 Ok(())
             }
@@ -98,7 +253,8 @@
                 Err(ConnectionClosed)
             }
             Startup::Unknown => {
-                self.send_fatal_error(id, sqlstate::FEATURE_NOT_SUPPORTED, "unknown protocol", context)
+                let code = sqlstate::FEATURE_NOT_SUPPORTED;
+                self.close_with_error(code, "unknown protocol", &mut context.counters)
             }
         }
     }
@@ -114,32 +270,29 @@
             client::TERMINATE => Err(ConnectionClosed),
             client::SYNC => {
                 self.state.sync();
-                Ok(self.output.push(&postgres::ready_for_query())?)
+                self.output.push_ready_for_query()
             }
-            _ if self.state.phase() == Phase::SkippingToSync => Ok(()),
+            _ if self.phase() == Phase::SkippingToSync => Ok(()),
             client::QUERY => self.process_query(&message.body, id, service, context),
             client::PARSE | client::BIND | client::DESCRIBE | client::EXECUTE | client::CLOSE => {
-                self.reject_extended_query()
+                self.state.skip_to_sync();
+                let code = sqlstate::FEATURE_NOT_SUPPORTED;
+                self.output.push_error_until_sync(code, "only simple queries are served")
             }
             client::FUNCTION_CALL => {
-                self.send_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served", None)
+                self.output.push_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served")
             }
-            // Flush has no effect here. A password or copy message belongs to an exchange that is over or was
-            // never started.
+            // Flush has no effect on a simple query. A password or copy message belongs to an exchange that is
+            // over or was never started.
             client::FLUSH | client::PASSWORD => Ok(()),
             client::COPY_DATA | client::COPY_DONE | client::COPY_FAIL => Ok(()),
-            _ => self.send_fatal_error(id, sqlstate::PROTOCOL_VIOLATION, "unknown message", context),
+            _ => {
+                let code = sqlstate::PROTOCOL_VIOLATION;
+                self.close_with_error(code, "unknown message", &mut context.counters)
+            }
         }
     }
 
-    /// Rejects a message of the extended protocol. ReadyForQuery follows with the next Sync.
-    fn reject_extended_query(&mut self) -> Result<(), ConnectionClosed> {
-        self.state.skip_to_sync();
-        let message = "only simple queries are served";
-        let error = postgres::error_response("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, message, None);
-        Ok(self.output.push(&error)?)
-    }
-
     fn process_query(
         &mut self,
         body: &[u8],
@@ -156,7 +309,7 @@
             Ok(ParsedQuery::Query(query)) => self.start_query(query, id, service, context),
             Err(error) => {
                 context.counters.malformed += 1;
-                self.send_error(sqlstate::SYNTAX_ERROR, &error.to_string(), None)
+                self.output.push_error(sqlstate::SYNTAX_ERROR, &error.to_string())
             }
         }
     }
@@ -169,15 +322,16 @@
         service: ServiceStatus,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
-        let received_at = self.message_received_at();
+        let received_at = self.input.message_received_at();
         if let Some(drain) = service.drain.filter(|drain| drain.rejects(received_at)) {
             context.counters.rejected += 1;
-            return self.send_rejection(sqlstate::CANNOT_CONNECT_NOW, "shutting down", drain.retry_after());
+            let code = sqlstate::CANNOT_CONNECT_NOW;
+            return self.output.push_rejection(code, "shutting down", drain.retry_after());
         }
         // Each statement is within its own limit, but many of them together may exceed the memory.
         let Ok(memory) = self.input.reserve_memory(query.statement.text.len()) else {
             context.counters.rejected += 1;
-            return self.send_error(sqlstate::TOO_MANY_CONNECTIONS, "no memory", None);
+            return self.output.push_error(sqlstate::TOO_MANY_CONNECTIONS, "no memory");
         };
         query.statement.memory = Some(memory);
         self.state.start_query();
@@ -185,8 +339,21 @@
         Ok(())
     }
 
-    /// Returns when the last byte of the message that was just taken off the input buffer was received.
-    fn message_received_at(&mut self) -> Instant {
-        self.arrival_times.received_at(self.input.total_consumed()).unwrap_or(self.last_active)
+    fn respond_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
+        self.state.finish_empty_query();
+        self.output.push_empty_query_response()
+    }
+
+    /// Adds a fatal error and starts to close the session.
+    fn close_with_error(
+        &mut self,
+        code: &str,
+        message: &str,
+        counters: &mut Counters,
+    ) -> Result<(), ConnectionClosed> {
+        counters.malformed += 1;
+        self.output.push_fatal_error(code, message)?;
+        self.start_closing();
+        Ok(())
     }
 }
--- /dev/null
+++ b/src/net/frontend/socket.rs
@@ -0,0 +1,66 @@
+//! The socket of a client connection, and its registration with the reactor.
+
+use std::io::{self, Read, Write};
+use std::net::Shutdown;
+use std::time::Duration;
+
+use mio::net::TcpStream;
+use mio::Interest;
+
+use crate::net::reactor::{ConnectionId, EventSource, Reactor, TimerEvent};
+
+/// Delay before the socket is registered again after the system had no memory for it.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// A connected socket.
+pub(super) struct ClientSocket {
+    stream: TcpStream,
+    is_registered: bool,
+}
+
+impl ClientSocket {
+    /// Wraps the socket of a newly accepted client.
+    pub(super) fn new(stream: TcpStream) -> ClientSocket {
+        ClientSocket { stream, is_registered: false }
+    }
+
+    /// Returns whether the reactor announces events of the socket.
+    pub(super) fn is_registered(&self) -> bool {
+        self.is_registered
+    }
+
+    /// Registers the socket with the reactor, unless it is registered. If that fails, sets a timer to try again,
+    /// so that no client is reset because the system is short of memory for a moment.
+    pub(super) fn ensure_registered(&mut self, id: ConnectionId, reactor: &mut Reactor) {
+        if self.is_registered {
+            return;
+        }
+        let interest = Interest::READABLE | Interest::WRITABLE;
+        self.is_registered = reactor.register(&mut self.stream, EventSource::Client(id), interest).is_ok();
+        if !self.is_registered {
+            reactor.set_timer(reactor.now() + REGISTER_RETRY_DELAY, TimerEvent::Client(id));
+        }
+    }
+
+    /// Shuts down the sending direction only. Closing the socket with unread input would reset the connection,
+    /// and the client might lose the last message.
+    pub(super) fn half_close(&self) {
+        let _ = self.stream.shutdown(Shutdown::Write);
+    }
+}
+
+impl Read for ClientSocket {
+    fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
+        self.stream.read(buffer)
+    }
+}
+
+impl Write for ClientSocket {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
+        self.stream.write(bytes)
+    }
+
+    fn flush(&mut self) -> io::Result<()> {
+        self.stream.flush()
+    }
+}
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -8,6 +8,7 @@
 
 use super::acceptor::Room;
 use super::*;
+use crate::net::postgres;
 use crate::net::reactor::{EventSource, Reactor};
 
 /// The longest deadline of the classes of requests.
@@ -21,8 +22,12 @@
 const LONG_AFTER_LINGER: Duration = Duration::from_millis(1900);
 /// A startup message without parameters.
 const STARTUP: &[u8] = b"\0\0\0\x09\0\x03\0\0\0";
-/// Keys of connections start with this message type.
+/// The type of the message that answers a startup message.
 const AUTHENTICATION: u8 = b'R';
+/// A query that can be executed.
+const QUERY: &[u8] = b"/*id=a1,c=read,cluster=2,d=500*/ SELECT 1";
+/// Time after which a read of the client fails, so that no test hangs.
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A frontend with room for one connection, and one client.
 struct Fixture {
@@ -60,14 +65,20 @@
         self.frontend.connections.get_mut(id).unwrap()
     }
 
-    /// Queues a response that does not fit into the sockets, and starts to close the connection.
+    /// Has a query answered with a response that does not fit into the sockets, and starts to close the
+    /// connection.
     fn close_with_long_response(&mut self) {
         let id = self.connection_id();
+        self.client.write_all(STARTUP).unwrap();
+        self.client.write_all(&postgres::query_message(QUERY)).unwrap();
+        while self.connection().session().phase() != Phase::Busy {
+            self.frontend.ready(id, &mut self.context);
+        }
+        self.frontend.respond(id, Response::Value(LONG_RESPONSE.to_vec()), &mut self.context);
         let connection = self.frontend.connections.get_mut(id).unwrap();
-        connection.output.push(&LONG_RESPONSE).unwrap();
         connection.start_closing(id, &mut self.context);
         self.frontend.ready(id, &mut self.context);
-        assert!(!self.connection().output.is_empty(), "the response does not fit");
+        assert_eq!(self.connection().session().phase(), Phase::Closing, "the response does not fit");
     }
 }
 
@@ -96,11 +107,17 @@
     fixture.close_with_long_response();
     assert!(matches!(fixture.frontend.find_room(), Room::Full));
     let mut client = fixture.client.try_clone().unwrap();
-    std::thread::spawn(move || client.read_exact(&mut vec![0; LONG_RESPONSE.len()]));
+    client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    let reader = std::thread::spawn(move || {
+        let mut received = Vec::new();
+        client.read_to_end(&mut received).map(|_| received)
+    });
     let id = fixture.connection_id();
-    while !fixture.connection().output.is_empty() {
+    while !reader.is_finished() {
         fixture.frontend.ready(id, &mut fixture.context);
     }
+    let received = reader.join().unwrap().expect("the connection ends once the response is written");
+    assert!(received.ends_with(&[&LONG_RESPONSE, &*postgres::ready_for_query()].concat()));
     assert!(matches!(fixture.frontend.find_room(), Room::Replace(replaced) if replaced == id));
 }
 
@@ -111,5 +128,5 @@
     let mut fixture = Fixture::new(0);
     fixture.close_with_long_response();
     let long_after = fixture.context.reactor.now() + LONG_AFTER_LINGER;
-    assert!(!fixture.connection().deadline.has_expired(long_after));
+    assert!(!fixture.connection().has_missed_deadline(long_after));
 }
