--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -1,49 +1,52 @@
-//! Accepts client connections up to the connection limit.
+//! The listening socket: accepts connections until it is closed for the shutdown.
 
 use std::io::{self, ErrorKind};
-use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
 use mio::net::{TcpListener, TcpStream};
 use mio::Interest;
 
-use super::connection::Connection;
 use super::log_limiter::LogLimiter;
-use super::protocol_state::Phase;
-use super::session::Session;
-use super::Frontend;
-use crate::net::postgres::CancelKey;
-use crate::net::reactor::{ConnectionId, EventSource, TimerEvent};
-use crate::net::Context;
+use crate::net::reactor::{EventSource, Reactor, TimerEvent};
 
 /// Delay before accepting again after the system had no descriptor or memory for a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
+/// What came of accepting one connection.
+pub(super) enum AcceptStatus {
+    /// A connection was accepted.
+    Accepted(TcpStream),
+    /// A connection was closed by its client before it was accepted. There may be more.
+    Aborted,
+    /// No connection can be accepted at present.
+    Blocked,
+}
+
 /// The listening socket and what keeps it from accepting.
 pub(super) struct Acceptor {
     /// None once it is closed for the shutdown.
     listener: Option<TcpListener>,
-    /// Whether to close the listener as soon as no connection waits in its queue.
+    /// Whether to close the listener as soon as its queue is empty.
     is_closing: bool,
-    /// Whether connections wait in the listener's queue until there is room.
-    connections_wait: bool,
+    /// Whether connections may wait in the listener's queue until the connection limit allows them.
+    has_backlog: bool,
     log_limiter: LogLimiter,
 }
 
 impl Acceptor {
-    /// Registers the listener with the reactor.
-    pub(super) fn new(mut listener: TcpListener, context: &mut Context) -> io::Result<Acceptor> {
-        context.reactor.register(&mut listener, EventSource::Listener, Interest::READABLE)?;
+    /// Registers the listener with the reactor. Fails if the system has no memory for it.
+    pub(super) fn new(mut listener: TcpListener, reactor: &mut Reactor) -> io::Result<Acceptor> {
+        reactor.register(&mut listener, EventSource::Listener, Interest::READABLE)?;
         Ok(Acceptor {
             listener: Some(listener),
             is_closing: false,
-            connections_wait: false,
+            has_backlog: false,
             log_limiter: LogLimiter::default(),
         })
     }
 
-    /// Has the listening socket closed once all connections that wait in its queue are accepted. Closing it
-    /// earlier would reset them, with the queries that their clients may have sent.
+    /// Has the listening socket closed once all connections in its queue are accepted. Closing it earlier would
+    /// reset them, with the queries that their clients may have sent.
     pub(super) fn start_closing(&mut self) {
         self.is_closing = true;
     }
@@ -53,130 +56,46 @@
         self.listener.is_some()
     }
 
-    /// Handles that no connection waits in the queue.
-    fn on_queue_empty(&mut self) {
-        if self.is_closing {
-            self.listener = None;
-        }
-    }
-}
-
-/// Where a new connection can be placed.
-pub(super) enum Room {
-    /// The connection limit is not reached.
-    Available,
-    /// The limit is reached, but this connection can be closed in favour of a new one.
-    Replace(ConnectionId),
-    /// The limit is reached and all connections are busy.
-    Full,
-}
-
-impl Frontend {
-    /// Accepts all connections that wait, as far as there is room.
-    pub fn accept(&mut self, context: &mut Context) {
-        while self.acceptor.is_open() {
-            if self.accept_next(context).is_break() {
-                return;
-            }
+    /// Leaves the connections in the queue until one of the `clients` connected now is removed. The listener is
+    /// edge-triggered and does not announce them a second time.
+    pub(super) fn wait_for_capacity(&mut self, clients: usize, now: Instant) {
+        self.has_backlog = true;
+        if self.log_limiter.permits(now) {
+            tracing::warn!(clients, "all client connections are busy: new connections wait");
         }
     }
 
-    /// Accepts again if connections were left waiting. The listener is edge-triggered and does not announce
-    /// them a second time.
-    pub(super) fn resume_accepting(&mut self, context: &mut Context) {
-        if self.acceptor.connections_wait {
-            self.acceptor.connections_wait = false;
-            self.accept(context);
-        }
+    /// Returns whether connections were left in the queue since the last call.
+    pub(super) fn take_backlog(&mut self) -> bool {
+        std::mem::take(&mut self.has_backlog)
     }
 
-    /// Accepts one connection. Breaks when no more can be accepted for now.
-    fn accept_next(&mut self, context: &mut Context) -> ControlFlow<()> {
-        let now = context.reactor.now();
-        let replaced = match self.find_room() {
-            Room::Available => None,
-            Room::Replace(id) => {
-                // Input that has arrived by now makes the connection busy.
-                self.ready(id, context);
-                if !self.is_replaceable(id) {
-                    return ControlFlow::Continue(());
-                }
-                Some(id)
-            }
-            Room::Full => {
-                self.acceptor.connections_wait = true;
-                self.warn_all_busy(now);
-                return ControlFlow::Break(());
-            }
-        };
-        let Some(listener) = &self.acceptor.listener else { return ControlFlow::Break(()) };
+    /// Accepts the next connection in the queue. Without memory or a descriptor for it, sets a timer to try again.
+    pub(super) fn accept(&mut self, now: Instant, reactor: &mut Reactor) -> AcceptStatus {
+        let Some(listener) = &self.listener else { return AcceptStatus::Blocked };
         match listener.accept() {
-            Ok((stream, _)) => {
-                if let Some(id) = replaced {
-                    self.connections.remove(id);
-                }
-                self.add_connection(stream, context);
-                ControlFlow::Continue(())
-            }
-            Err(error) => self.handle_accept_error(&error, now, context),
+            Ok((stream, _)) => AcceptStatus::Accepted(stream),
+            Err(error) => self.handle_error(&error, now, reactor),
         }
     }
 
-    fn handle_accept_error(
-        &mut self,
-        error: &io::Error,
-        now: Instant,
-        context: &mut Context,
-    ) -> ControlFlow<()> {
+    fn handle_error(&mut self, error: &io::Error, now: Instant, reactor: &mut Reactor) -> AcceptStatus {
         match error.kind() {
             ErrorKind::WouldBlock => {
-                self.acceptor.on_queue_empty();
-                ControlFlow::Break(())
+                if self.is_closing {
+                    self.listener = None;
+                }
+                AcceptStatus::Blocked
             }
-            // An aborted connection was closed by its client while it was still in the queue.
-            ErrorKind::ConnectionAborted | ErrorKind::Interrupted => ControlFlow::Continue(()),
+            ErrorKind::ConnectionAborted | ErrorKind::Interrupted => AcceptStatus::Aborted,
             _ => {
                 // There is no descriptor or no memory: the connection stays in the queue.
-                context.reactor.set_timer(now + ACCEPT_RETRY_DELAY, TimerEvent::RetryAccept);
-                if self.acceptor.log_limiter.permits(now) {
+                reactor.set_timer(now + ACCEPT_RETRY_DELAY, TimerEvent::RetryAccept);
+                if self.log_limiter.permits(now) {
                     tracing::warn!(%error, "cannot accept a connection");
                 }
-                ControlFlow::Break(())
+                AcceptStatus::Blocked
             }
         }
     }
-
-    /// Looks for room for one connection. One whose last response is not written yet stays. An idle
-    /// connection is closed only once a new one is there, so the new one uses a spare descriptor for a
-    /// moment.
-    pub(super) fn find_room(&self) -> Room {
-        if self.connections.len() < self.max_connections {
-            return Room::Available;
-        }
-        let closing = self.least_recently_active(|session| session.phase() == Phase::HalfClosed);
-        let replaced = closing.or_else(|| self.least_recently_active(Session::is_idle));
-        replaced.map_or(Room::Full, Room::Replace)
-    }
-
-    fn is_replaceable(&mut self, id: ConnectionId) -> bool {
-        let Some(connection) = self.connections.get_mut(id) else { return false };
-        connection.session().phase() == Phase::HalfClosed || connection.session().is_idle()
-    }
-
-    fn warn_all_busy(&mut self, now: Instant) {
-        if self.acceptor.log_limiter.permits(now) {
-            let clients = self.connections.len();
-            tracing::warn!(clients, "all client connections are busy: new connections wait");
-        }
-    }
-
-    fn add_connection(&mut self, stream: TcpStream, context: &mut Context) {
-        let _ = stream.set_nodelay(true);
-        let cancel_key = CancelKey(self.rng.u32(..), self.rng.u32(..));
-        let now = context.reactor.now();
-        let connection = Connection::new(stream, cancel_key, &self.budget, self.response_timeout, now);
-        let id = self.connections.insert(connection);
-        context.counters.clients_accepted += 1;
-        self.ready(id, context);
-    }
 }
--- /dev/null
+++ b/src/net/frontend/connections.rs
@@ -0,0 +1,107 @@
+//! The open client connections and their limit: whether a new one is accepted, and which one is evicted for it.
+
+use super::connection::Connection;
+use super::protocol_state::Phase;
+use super::session::Session;
+use crate::net::reactor::{ConnectionId, ConnectionTable};
+
+/// What the connection limit allows for a new connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Capacity {
+    /// The limit is not reached.
+    Available,
+    /// The limit is reached, but this connection can be closed in favour of a new one.
+    Evict(ConnectionId),
+    /// The limit is reached and all connections are busy.
+    Exhausted,
+}
+
+/// The client connections, at most `limit`.
+pub(super) struct ClientConnections {
+    table: ConnectionTable<Connection>,
+    limit: usize,
+}
+
+impl ClientConnections {
+    /// Creates an empty table for at most `limit` connections.
+    pub(super) fn new(limit: usize) -> ClientConnections {
+        ClientConnections { table: ConnectionTable::new(), limit }
+    }
+
+    /// Returns the connection limit.
+    pub(super) fn limit(&self) -> usize {
+        self.limit
+    }
+
+    /// Returns the number of connections.
+    pub(super) fn len(&self) -> usize {
+        self.table.len()
+    }
+
+    /// Returns the number of connections that are not being closed.
+    pub(super) fn count_open(&self) -> usize {
+        self.table.iter().filter(|(_, connection)| !connection.session().phase().is_closing()).count()
+    }
+
+    /// Returns the connection with this id, unless it was removed.
+    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+        self.table.get_mut(id)
+    }
+
+    /// Adds a connection. The caller has seen to the limit.
+    pub(super) fn insert(&mut self, connection: Connection) -> ConnectionId {
+        self.table.insert(connection)
+    }
+
+    /// Closes the connection with this id, unless it was removed.
+    pub(super) fn remove(&mut self, id: ConnectionId) {
+        self.table.remove(id);
+    }
+
+    /// Returns the ids of all connections.
+    pub(super) fn ids(&self) -> Vec<ConnectionId> {
+        self.find_all(|_| true)
+    }
+
+    /// Returns the connections whose sessions match.
+    pub(super) fn find_all(&self, matches: impl Fn(&Session) -> bool) -> Vec<ConnectionId> {
+        let matching = self.table.iter().filter(|(_, connection)| matches(connection.session()));
+        matching.map(|(id, _)| id).collect()
+    }
+
+    /// Returns the first connection whose session matches.
+    pub(super) fn find(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
+        let mut connections = self.table.iter();
+        connections.find(|(_, connection)| matches(connection.session())).map(|(id, _)| id)
+    }
+
+    /// Returns the matching connection that has been inactive for longest.
+    pub(super) fn least_recently_active(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
+        self.table
+            .iter()
+            .filter(|(_, connection)| matches(connection.session()))
+            .min_by_key(|(_, connection)| connection.session().last_active_at())
+            .map(|(id, _)| id)
+    }
+
+    /// Returns what the limit allows. A half-closed connection is evicted before an idle one; one whose last
+    /// response is not written yet is not evicted.
+    pub(super) fn capacity(&self) -> Capacity {
+        if self.len() < self.limit {
+            return Capacity::Available;
+        }
+        let half_closed = self.least_recently_active(is_half_closed);
+        let evicted = half_closed.or_else(|| self.least_recently_active(Session::is_idle));
+        evicted.map_or(Capacity::Exhausted, Capacity::Evict)
+    }
+
+    /// Returns whether the connection with this id can still be closed in favour of a new one.
+    pub(super) fn is_evictable(&mut self, id: ConnectionId) -> bool {
+        let Some(connection) = self.table.get_mut(id) else { return false };
+        is_half_closed(connection.session()) || connection.session().is_idle()
+    }
+}
+
+fn is_half_closed(session: &Session) -> bool {
+    session.phase() == Phase::HalfClosed
+}
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -2,9 +2,10 @@
 //!
 //! Each module uses only modules below it, apart from the types at the end:
 //!
-//! - [`Frontend`], with [`acceptor`] and [`idle`]: which connections there are.
-//!   - [`acceptor`]: accepts new connections up to the connection limit.
-//!   - [`idle`]: closes idle connections when many are open.
+//! - [`Frontend`]: hands each event to the connection that it is for.
+//! - [`acceptor`]: the listening socket.
+//! - [`idle`]: decides which idle connections are closed when many are open.
+//! - [`connections`]: the open connections, their limit, and which one is evicted for a new one.
 //! - [`connection`]: the read, process and write cycle of one connection. Owns the three that follow:
 //!   - [`socket`]: the socket and its registration with the reactor.
 //!   - [`session`]: what each message of a client leads to. Owns the three that follow:
@@ -17,6 +18,7 @@
 mod acceptor;
 mod arrivals;
 mod connection;
+mod connections;
 mod deadline;
 mod error;
 mod idle;
@@ -29,19 +31,22 @@
 mod socket;
 
 use std::io;
+use std::ops::ControlFlow;
 use std::time::Duration;
 
-use mio::net::TcpListener;
+use mio::net::{TcpListener, TcpStream};
 
 use super::buffer::MemoryBudget;
 use super::postgres::CancelKey;
-use super::reactor::{ConnectionId, ConnectionTable, TimerEvent};
+use super::reactor::{ConnectionId, TimerEvent};
 use super::shutdown::Drain;
 use super::{Context, Event, Response};
 use crate::counters::Counters;
-use acceptor::Acceptor;
+use acceptor::{AcceptStatus, Acceptor};
 use connection::Connection;
+use connections::{Capacity, ClientConnections};
 use error::ConnectionClosed;
+use idle::{IdleConnection, IDLE_SWEEP_INTERVAL};
 use protocol_state::Phase;
 use service_status::ServiceStatus;
 use session::Session;
@@ -49,8 +54,7 @@
 /// All client connections, and the acceptor of new ones.
 pub(crate) struct Frontend {
     acceptor: Acceptor,
-    connections: ConnectionTable<Connection>,
-    max_connections: usize,
+    connections: ClientConnections,
     /// How long a client may take to read its responses.
     response_timeout: Duration,
     /// Limits the memory of all connections together.
@@ -62,7 +66,7 @@
 
 impl Frontend {
     /// Registers the listener and starts the idle sweep. Accepts at most `max_connections` at a time.
-    /// `longest_deadline` is that of all classes of requests.
+    /// `longest_deadline` is that of all classes of requests. Fails if the listener cannot be registered.
     pub fn new(
         listener: TcpListener,
         max_connections: usize,
@@ -71,12 +75,11 @@
         seed: u64,
         context: &mut Context,
     ) -> io::Result<Frontend> {
-        let acceptor = Acceptor::new(listener, context)?;
-        context.reactor.set_timer(context.reactor.now() + idle::IDLE_SWEEP_INTERVAL, TimerEvent::IdleSweep);
+        let acceptor = Acceptor::new(listener, &mut context.reactor)?;
+        context.reactor.set_timer(context.reactor.now() + IDLE_SWEEP_INTERVAL, TimerEvent::IdleSweep);
         Ok(Frontend {
             acceptor,
-            connections: ConnectionTable::new(),
-            max_connections,
+            connections: ClientConnections::new(max_connections),
             response_timeout: deadline::response_timeout(longest_deadline),
             budget,
             service: ServiceStatus::default(),
@@ -89,6 +92,57 @@
         self.connections.len() == 0 && !self.acceptor.is_open()
     }
 
+    /// Accepts all connections in the listener's queue, as far as the connection limit allows.
+    pub fn accept(&mut self, context: &mut Context) {
+        while self.acceptor.is_open() {
+            if self.accept_next(context).is_break() {
+                return;
+            }
+        }
+    }
+
+    /// Accepts one connection. Breaks when no more can be accepted for now.
+    fn accept_next(&mut self, context: &mut Context) -> ControlFlow<()> {
+        let now = context.reactor.now();
+        let evicted = match self.connections.capacity() {
+            Capacity::Available => None,
+            Capacity::Evict(id) => {
+                // Input that has arrived by now makes the connection busy.
+                self.ready(id, context);
+                if !self.connections.is_evictable(id) {
+                    return ControlFlow::Continue(());
+                }
+                Some(id)
+            }
+            Capacity::Exhausted => {
+                self.acceptor.wait_for_capacity(self.connections.len(), now);
+                return ControlFlow::Break(());
+            }
+        };
+        match self.acceptor.accept(now, &mut context.reactor) {
+            AcceptStatus::Accepted(stream) => {
+                // Closed only now that there is a new one, which therefore uses a spare descriptor for a moment.
+                if let Some(id) = evicted {
+                    self.connections.remove(id);
+                }
+                self.add_connection(stream, context);
+                ControlFlow::Continue(())
+            }
+            AcceptStatus::Aborted => ControlFlow::Continue(()),
+            AcceptStatus::Blocked => ControlFlow::Break(()),
+        }
+    }
+
+    fn add_connection(&mut self, stream: TcpStream, context: &mut Context) {
+        let _ = stream.set_nodelay(true);
+        let cancel_key = CancelKey(self.rng.u32(..), self.rng.u32(..));
+        let now = context.reactor.now();
+        let connection = Connection::new(stream, cancel_key, &self.budget, self.response_timeout, now);
+        let id = self.connections.insert(connection);
+        context.counters.clients_accepted += 1;
+        self.ready(id, context);
+    }
+
     /// Handles a connection that has become readable or writable.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -118,6 +172,24 @@
         self.finish_poll(id, result, context);
     }
 
+    /// Closes the connections whose idle timeout has passed, those idle for longest first.
+    pub fn close_idle(&mut self, context: &mut Context) {
+        let now = context.reactor.now();
+        context.reactor.set_timer(now + IDLE_SWEEP_INTERVAL, TimerEvent::IdleSweep);
+        while let Some(idle) = IdleConnection::find(&self.connections, now) {
+            // Input that has arrived by now ends the idle time.
+            self.ready(idle.id, context);
+            let Some(connection) = self.connections.get_mut(idle.id) else { continue };
+            if !idle.is_still_idle(connection.session(), now) {
+                continue;
+            }
+            connection.start_closing(idle.id, context);
+            context.counters.idle_closed += 1;
+            let result = connection.poll(idle.id, self.service, context);
+            self.finish_poll(idle.id, result, context);
+        }
+    }
+
     /// Sends the final response to the query of a connection.
     pub fn respond(&mut self, id: ConnectionId, response: Response, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -133,10 +205,7 @@
 
     /// Returns the connection whose running query a cancel request with this key refers to.
     pub fn find_by_cancel_key(&self, key: CancelKey) -> Option<ConnectionId> {
-        self.connections
-            .iter()
-            .find(|(_, connection)| connection.session().is_cancelled_by(key))
-            .map(|(id, _)| id)
+        self.connections.find(|session| session.is_cancelled_by(key))
     }
 
     /// Marks the pooler as able to execute queries and responds to the empty queries that wait for that.
@@ -145,13 +214,7 @@
             return;
         }
         self.service.ready = true;
-        let waiting: Vec<ConnectionId> = self
-            .connections
-            .iter()
-            .filter(|(_, connection)| connection.session().phase() == Phase::AwaitingEndpoints)
-            .map(|(id, _)| id)
-            .collect();
-        for id in waiting {
+        for id in self.connections.find_all(|session| session.phase() == Phase::AwaitingEndpoints) {
             self.respond_to_empty_query(id, context);
         }
     }
@@ -164,28 +227,25 @@
         self.finish_poll(id, result, context);
     }
 
-    /// Stops accepting once no connection waits, and closes each one as soon as all its queries are answered.
-    /// Later queries are rejected with this Retry-After; zero for no advice.
+    /// Stops accepting once the listener's queue is empty, and closes each connection as soon as all its queries
+    /// are answered. Later queries are rejected with this Retry-After; zero for no advice.
     pub fn start_draining(&mut self, retry_after: Duration, context: &mut Context) {
         // Connections and queries that have arrived by now are still served.
         self.acceptor.start_closing();
         self.accept(context);
         self.service.drain = Some(Drain::new(context.reactor.now(), retry_after));
-        let all: Vec<ConnectionId> = self.connections.iter().map(|(id, _)| id).collect();
-        for id in all {
+        for id in self.connections.ids() {
             self.ready(id, context);
         }
     }
 
     /// Returns the clients whose running query has more input behind it.
     pub fn clients_with_waiting_input(&self) -> Vec<ConnectionId> {
-        let connections = self.connections.iter();
-        let waiting = connections.filter(|(_, connection)| connection.session().has_input_behind_query());
-        waiting.map(|(id, _)| id).collect()
+        self.connections.find_all(Session::has_input_behind_query)
     }
 
     /// Completes a poll: closes a drained connection during the shutdown, updates the client's deadline,
-    /// removes a connection that is closed and accepts waiting connections if there may be room now.
+    /// removes a connection that is closed, and accepts waiting connections if the limit may allow them now.
     fn finish_poll(
         &mut self,
         id: ConnectionId,
@@ -212,13 +272,11 @@
         }
     }
 
-    /// Returns the matching connection that has been inactive for longest.
-    fn least_recently_active(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
-        self.connections
-            .iter()
-            .filter(|(_, connection)| matches(connection.session()))
-            .min_by_key(|(_, connection)| connection.session().last_active_at())
-            .map(|(id, _)| id)
+    /// Accepts connections that were left in the listener's queue.
+    fn resume_accepting(&mut self, context: &mut Context) {
+        if self.acceptor.take_backlog() {
+            self.accept(context);
+        }
     }
 }
 
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -6,7 +6,6 @@
 
 use mio::{Events, Poll};
 
-use super::acceptor::Room;
 use super::*;
 use crate::net::postgres;
 use crate::net::reactor::{EventSource, Reactor};
@@ -29,7 +28,7 @@
 /// Time after which a read of the client fails, so that no test hangs.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A frontend with room for one connection, and one client.
+/// A frontend whose connection limit is one, and one client.
 struct Fixture {
     poll: Poll,
     context: Context,
@@ -56,8 +55,7 @@
     }
 
     fn connection_id(&self) -> ConnectionId {
-        let (id, _) = self.frontend.connections.iter().next().expect("the client is connected");
-        id
+        *self.frontend.connections.ids().first().expect("the client is connected")
     }
 
     fn connection(&mut self) -> &mut Connection {
@@ -100,12 +98,12 @@
     assert!(events.iter().any(|event| EventSource::from(event.token()) == EventSource::Client(id)));
 }
 
-/// A connection whose last response was still to be written once made room for a new client.
+/// A connection whose last response was still to be written was once evicted for a new client.
 #[test]
-fn a_closing_connection_makes_room_only_once_its_response_is_written() {
+fn a_closing_connection_is_evicted_only_once_its_response_is_written() {
     let mut fixture = Fixture::new(0);
     fixture.close_with_long_response();
-    assert!(matches!(fixture.frontend.find_room(), Room::Full));
+    assert_eq!(fixture.frontend.connections.capacity(), Capacity::Exhausted);
     let mut client = fixture.client.try_clone().unwrap();
     client.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
     let reader = std::thread::spawn(move || {
@@ -118,7 +116,7 @@
     }
     let received = reader.join().unwrap().expect("the connection ends once the response is written");
     assert!(received.ends_with(&[&LONG_RESPONSE, &*postgres::ready_for_query()].concat()));
-    assert!(matches!(fixture.frontend.find_room(), Room::Replace(replaced) if replaced == id));
+    assert_eq!(fixture.frontend.connections.capacity(), Capacity::Evict(id));
 }
 
 /// A response that was still to be written was once cut a second after the connection began to close, and any
