--- a/src/net/backend/reply/tests.rs
+++ b/src/net/backend/reply/tests.rs
@@ -66,14 +66,14 @@
     assert_eq!(last, Ok(ReplyStatus::ReadyForQuery));
     assert!(!reply.has_started());
     assert_eq!(reply.outcome(), None);
-    assert_eq!(reply.log_position, Some(1.5));
+    assert_eq!(reply.log_position, Some(LogPosition::from_secs(1.5)));
 }
 
 #[test]
 fn a_health_check_keeps_the_report_and_no_value() {
     let (reply, last) = receive("TDC", &Task::HealthCheck, 0);
     assert_eq!(last, Ok(ReplyStatus::Incomplete));
-    assert_eq!(reply.report.and_then(|report| report.primary), Some(true));
+    assert_eq!(reply.report.and_then(|report| report.role), Some(Role::Primary));
     assert!(reply.value.is_empty());
 }
 
--- a/src/net/frontend/output.rs
+++ b/src/net/frontend/output.rs
@@ -95,15 +95,15 @@
     }
 
     /// Answers a query with a rejection. The detail says after how many milliseconds to retry, rounded up;
-    /// there is none if `retry_after` is zero.
+    /// there is none without a Retry-After or if it is zero.
     pub(super) fn push_rejection(
         &mut self,
         code: &str,
         message: &str,
-        retry_after: Duration,
+        retry_after: Option<Duration>,
     ) -> Result<(), ConnectionClosed> {
-        let milliseconds = retry_after.as_nanos().div_ceil(NANOS_PER_MILLISECOND);
-        let detail = (milliseconds > 0).then(|| milliseconds.to_string());
+        let milliseconds = retry_after.map(|duration| duration.as_nanos().div_ceil(NANOS_PER_MILLISECOND));
+        let detail = milliseconds.filter(|milliseconds| *milliseconds > 0).map(|number| number.to_string());
         self.push_error_with_detail(code, message, detail.as_deref())
     }
 
--- a/src/net/frontend/output/tests.rs
+++ b/src/net/frontend/output/tests.rs
@@ -54,12 +54,13 @@
 }
 
 #[rstest]
-#[case::none(Duration::ZERO, None)]
-#[case::rounded_up(Duration::from_micros(1), Some("1"))]
-#[case::whole_milliseconds(Duration::from_millis(50), Some("50"))]
-#[case::a_little_more(Duration::from_nanos(50_000_001), Some("51"))]
+#[case::none(None, None)]
+#[case::zero(Some(Duration::ZERO), None)]
+#[case::rounded_up(Some(Duration::from_micros(1)), Some("1"))]
+#[case::whole_milliseconds(Some(Duration::from_millis(50)), Some("50"))]
+#[case::a_little_more(Some(Duration::from_nanos(50_000_001)), Some("51"))]
 fn a_rejection_says_after_how_many_milliseconds_to_retry(
-    #[case] retry_after: Duration,
+    #[case] retry_after: Option<Duration>,
     #[case] detail: Option<&str>,
 ) {
     let mut output = output();
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -4,7 +4,7 @@
 
 use super::Pooler;
 use crate::interface::{Action, EndpointId, RequestId, StateChange};
-use crate::net::reactor::{saturating_duration, TimerEvent};
+use crate::net::reactor::{duration_of, TimerEvent};
 use crate::net::{Context, Response, Task};
 
 impl Pooler {
@@ -18,7 +18,7 @@
     fn execute_one(&mut self, action: Action, context: &mut Context) {
         match action {
             Action::Send { id, endpoint, timeout } => {
-                self.send_attempt(id, &endpoint, saturating_duration(timeout), context);
+                self.send_attempt(id, &endpoint, duration_of(timeout), context);
             }
             Action::CancelAttempt { id, attempt } => {
                 if let Some(connection) = self.requests.connection_of_attempt(&id, attempt) {
@@ -26,7 +26,7 @@
                 }
             }
             Action::Reject { id, retry_after } => {
-                let retry_after = saturating_duration(retry_after);
+                let retry_after = retry_after.map(duration_of);
                 self.finish_request(&id, Response::Rejected { retry_after }, context);
             }
             Action::Fail { id } => self.finish_request(&id, Response::Failed, context),
@@ -36,7 +36,7 @@
             }
             Action::HealthCheck { endpoint } => self.send_health_check(&endpoint, context),
             Action::CloseIdleConnections { endpoint } => self.backend.close_idle_connections(&endpoint),
-            Action::Watch => self.discovery.listen(context),
+            Action::Watch => self.discovery.open_watch(context),
             Action::Log(change) => log_state_change(&change),
         }
     }
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -4,6 +4,7 @@
 use super::Pooler;
 use crate::interface::{self, AttemptResult, Outcome};
 use crate::net::messages::InvalidQuery;
+use crate::net::reactor::span_of;
 use crate::net::{Attempt, Completion, Context, Response, Task};
 
 impl Pooler {
@@ -33,9 +34,9 @@
             attempt: number,
             outcome,
             request_finished: response.is_some() || client == ClientState::NotWaiting,
-            elapsed: completion.elapsed.as_secs_f64(),
+            elapsed: span_of(completion.elapsed),
             log_position: completion.log_position,
-            primary: completion.primary,
+            role: completion.role,
             report: completion.report,
         };
         // The policy learns what the answer says of the endpoint before the client can act on the answer.
@@ -52,7 +53,7 @@
 fn final_response(outcome: Outcome, value: Vec<u8>) -> Option<Response> {
     match outcome {
         Outcome::Success => Some(Response::Value(value)),
-        Outcome::InvalidRequest => Some(Response::Invalid(InvalidQuery::RejectedByHost)),
+        Outcome::InvalidRequest => Some(Response::Invalid(InvalidQuery::RejectedByEndpoint)),
         _ => None,
     }
 }
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -7,9 +7,10 @@
 use crate::interface::{self, Request, RequestId};
 use crate::net::messages::InvalidQuery;
 use crate::net::postgres::CancelKey;
-use crate::net::reactor::{ConnectionId, Reactor};
+use crate::net::reactor::{span_of, ConnectionId, Reactor};
 use crate::net::{Context, Query, Response};
 use crate::settings::{Consistency, Idempotency};
+use crate::time::{ClusterInstant, LocalInstant, Span};
 
 /// What the pooler has to know of a request class.
 struct QueryClass {
@@ -76,18 +77,23 @@
             class,
             group: query.group,
             // The query may have waited behind others of its connection since it was received.
-            timeout: query.timeout.as_secs_f64() - waited.as_secs_f64(),
+            timeout: span_of(query.timeout) - span_of(waited),
             session_token_age: query
                 .session_token
-                .map(|committed_at| reactor.policy_time(now) - committed_at),
+                .map(|committed_at| reactor.policy_time(now) - local_commit_time(committed_at)),
             session: session.map(Into::into),
             tenant: self.tenant(&query.tenant),
             predicted_work: None,
-            client_retry: query.client_retry,
         }
     }
 }
 
+/// The time of a commit (Unix seconds on the database hosts' clock) as if both clocks agreed. The policy takes
+/// the commit's age and converts it back in the same way.
+fn local_commit_time(committed_at: f64) -> LocalInstant {
+    ClusterInstant::from_secs(committed_at).to_local(Span::ZERO)
+}
+
 impl Pooler {
     /// Passes a client's query to the policy, or rejects it if it is invalid.
     pub(super) fn on_query(
@@ -111,7 +117,7 @@
     /// The number of the class of a valid query.
     fn validate(&self, query: &Query) -> Result<usize, InvalidQuery> {
         let class = self.queries.class_of(query)?;
-        // Two requests of one identifier could not be told apart, and a database host would see a duplicate.
+        // Two requests of one identifier could not be distinguished, and an endpoint would see a duplicate.
         if self.requests.contains(&query.id) {
             return Err(InvalidQuery::DuplicateId);
         }
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -20,10 +20,11 @@
 use crate::net::buffer::MemoryBudget;
 use crate::net::discovery::Discovery;
 use crate::net::frontend::Frontend;
-use crate::net::reactor::{self, saturating_duration, EventSource, Reactor};
+use crate::net::reactor::{self, duration_of, EventSource, Reactor};
 use crate::net::shutdown::GracefulShutdown;
 use crate::net::{Context, Event};
 use crate::settings::SettingsError;
+use crate::time::Span;
 use crate::transient_error::{is_transient, retry};
 use crate::Policy;
 
@@ -46,7 +47,7 @@
 }
 
 impl ServeError {
-    /// Whether the start may succeed soon.
+    /// Whether a retry of the start may succeed.
     fn is_transient(&self) -> bool {
         matches!(self, ServeError::Io(error) if is_transient(error))
     }
@@ -55,11 +56,11 @@
 /// How many connections each side may hold.
 struct ConnectionLimits {
     clients: usize,
-    hosts: usize,
+    backend: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the configured number of file descriptors between clients and database hosts. A client has at
+    /// Divides the configured number of file descriptors between clients and endpoints. A client has at
     /// most one attempt in flight, so both sides get half of them.
     fn new(descriptors: usize) -> Result<ConnectionLimits, ServeError> {
         let sockets = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
@@ -67,7 +68,7 @@
         if clients == 0 {
             return Err(ServeError::TooFewSockets);
         }
-        Ok(ConnectionLimits { clients, hosts: sockets - clients })
+        Ok(ConnectionLimits { clients, backend: sockets - clients })
     }
 }
 
@@ -107,17 +108,16 @@
         let budget = MemoryBudget::new(config.memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
-        let longest_deadline = saturating_duration(settings.longest_deadline());
-        let connect_timeout = saturating_duration(settings.connect_timeout);
-        let max_retry_after =
-            settings.send_retry_after.then(|| saturating_duration(settings.max_retry_after));
-        let keepalive = saturating_duration(config.keepalive);
+        let longest_deadline = duration_of(settings.longest_deadline());
+        let connect_timeout = duration_of(settings.connect_timeout);
+        let max_retry_after = settings.send_retry_after.then(|| duration_of(settings.max_retry_after));
+        let keepalive = duration_of(Span::from_secs(config.keepalive));
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
         let mut pooler = Pooler {
             policy,
             frontend,
-            backend: Backend::new(limits.hosts, budget.clone(), keepalive, connect_timeout),
+            backend: Backend::new(limits.backend, budget.clone(), keepalive, connect_timeout),
             discovery: Discovery::new(config.discovery, config.known.index, budget),
             signals,
             requests: RequestTable::default(),
--- a/src/net/reactor/clock.rs
+++ b/src/net/reactor/clock.rs
@@ -2,50 +2,54 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+use crate::time::{LocalInstant, Span};
+
 /// The longest duration that is counted. Adding it to the present cannot overflow an [`Instant`].
 const MAX_DURATION: Duration = Duration::from_secs(100 * 365 * 24 * 60 * 60);
 
-/// Converts between the instants of the event loop and the policy's time.
-///
-/// The policy counts in seconds since the Unix epoch. The system clock is read at the start only and the time
-/// is monotonic from then on, so that setting the system clock neither delays nor fires a timer.
+/// Converts between the instants of the event loop and the policy's time. The system clock is read at the start
+/// only, so that setting it neither delays nor fires a timer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
-    started: Instant,
-    /// The system clock at `started` (Unix seconds).
-    started_at: f64,
+    started_at: Instant,
+    /// The system clock at `started_at`.
+    system_time_at_start: LocalInstant,
 }
 
 impl Clock {
     /// Creates a clock that starts now.
     pub fn start() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock::new(Instant::now(), since_epoch.as_secs_f64())
+        Clock::new(Instant::now(), LocalInstant::from_secs(since_epoch.as_secs_f64()))
     }
 
-    /// Creates a clock that started at an instant when the system clock stood at `started_at` (Unix seconds).
-    pub fn new(started: Instant, started_at: f64) -> Clock {
-        Clock { started, started_at }
+    /// Creates a clock that started at an instant, with the time that the system clock showed then.
+    pub fn new(started_at: Instant, system_time_at_start: LocalInstant) -> Clock {
+        Clock { started_at, system_time_at_start }
     }
 
-    /// Returns the policy's time at an instant (Unix seconds). An instant before the start counts as the
-    /// start.
-    pub fn policy_time(&self, instant: Instant) -> f64 {
-        self.started_at + instant.saturating_duration_since(self.started).as_secs_f64()
+    /// Returns the policy's time at an instant. An instant before the start counts as the start.
+    pub fn policy_time(&self, instant: Instant) -> LocalInstant {
+        self.system_time_at_start + span_of(instant.saturating_duration_since(self.started_at))
     }
 
-    /// Returns the instant of a policy's time (Unix seconds). A time before the start counts as the start,
-    /// and one that is too late for an instant as a hundred years later.
-    pub fn instant_of(&self, policy_time: f64) -> Instant {
-        self.started + saturating_duration(policy_time - self.started_at)
+    /// Returns the instant of a policy's time. A time before the start counts as the start, and one that is
+    /// too late for an instant as a hundred years later.
+    pub fn instant_of(&self, policy_time: LocalInstant) -> Instant {
+        self.started_at + duration_of(policy_time - self.system_time_at_start)
     }
 }
 
-/// Returns a duration given in seconds. A negative number counts as 0. A number that is too large, infinite or
+/// Returns the policy's span for a duration.
+pub(crate) fn span_of(duration: Duration) -> Span {
+    Span::from_secs(duration.as_secs_f64())
+}
+
+/// Returns the duration of a policy's span. A negative span counts as zero. One that is too long, infinite or
 /// not a number counts as a hundred years.
-pub(crate) fn saturating_duration(seconds: f64) -> Duration {
-    if seconds < 0.0 {
+pub(crate) fn duration_of(span: Span) -> Duration {
+    if span.as_secs() < 0.0 {
         return Duration::ZERO;
     }
-    Duration::try_from_secs_f64(seconds).unwrap_or(MAX_DURATION).min(MAX_DURATION)
+    Duration::try_from_secs_f64(span.as_secs()).unwrap_or(MAX_DURATION).min(MAX_DURATION)
 }
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -14,8 +14,9 @@
 use mio::{Events, Interest, Poll, Registry};
 
 use super::Context;
-pub(crate) use clock::saturating_duration;
+use crate::time::LocalInstant;
 use clock::Clock;
+pub(crate) use clock::{duration_of, span_of};
 pub(crate) use connection_table::{ConnectionId, ConnectionTable};
 pub(crate) use timers::TimerEvent;
 use timers::TimerQueue;
@@ -36,6 +37,10 @@
 
 impl Reactor {
     /// Creates a reactor whose registry belongs to `poll`.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the system has no file descriptor left.
     pub fn new(poll: &Poll) -> io::Result<Reactor> {
         Ok(Reactor {
             registry: poll.registry().try_clone()?,
@@ -46,11 +51,15 @@
         })
     }
 
-    /// Has the events of a source reported.
+    /// Has the events of a socket or of the signals reported under the name `source`.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the system has no memory for the registration.
     pub fn register(
         &mut self,
-        source: &mut impl Source,
-        name: EventSource,
+        socket: &mut impl Source,
+        source: EventSource,
         interest: Interest,
     ) -> io::Result<()> {
         #[cfg(test)]
@@ -58,7 +67,7 @@
             self.failing_registrations -= 1;
             return Err(ErrorKind::OutOfMemory.into());
         }
-        self.registry.register(source, name.into(), interest)
+        self.registry.register(socket, source.into(), interest)
     }
 
     /// Returns the present time of the monotonic clock. Each call reads the clock anew.
@@ -66,15 +75,15 @@
         Instant::now()
     }
 
-    /// Returns the policy's time at an instant (seconds since the Unix epoch, by the system clock at the
-    /// start and the monotonic clock since).
-    pub fn policy_time(&self, instant: Instant) -> f64 {
+    /// Returns the policy's time at an instant: Unix time by the system clock at the start and the monotonic
+    /// clock since.
+    pub fn policy_time(&self, instant: Instant) -> LocalInstant {
         self.clock.policy_time(instant)
     }
 
     /// Returns the instant of a policy's time. Never fails: a time out of range counts as the start or as a
     /// hundred years later.
-    pub fn instant_of(&self, policy_time: f64) -> Instant {
+    pub fn instant_of(&self, policy_time: LocalInstant) -> Instant {
         self.clock.instant_of(policy_time)
     }
 
@@ -105,14 +114,18 @@
     fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context);
     /// Called when a timer has expired.
     fn timer_expired(&mut self, event: TimerEvent, context: &mut Context);
-    /// Returns whether the loop shall end.
-    fn finished(&self) -> bool;
+    /// Returns whether the loop is to end.
+    fn is_finished(&self) -> bool;
 }
 
 /// Runs the event loop until the handler has finished.
+///
+/// # Errors
+///
+/// Fails where the system cannot wait for events.
 pub(crate) fn run(poll: &mut Poll, handler: &mut impl Handler, context: &mut Context) -> io::Result<()> {
     let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
-    while !handler.finished() {
+    while !handler.is_finished() {
         match poll.poll(&mut events, context.reactor.poll_timeout()) {
             Err(error) if error.kind() == ErrorKind::Interrupted => continue,
             result => result?,
