--- a/src/net/frontend/arrivals.rs
+++ b/src/net/frontend/arrivals.rs
@@ -3,13 +3,12 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-/// Most arrival times kept for one connection. Bytes received after that count as received with the last
-/// ones.
+/// Most arrival times stored for one connection. Later bytes count as received with the last of them.
 const MAX_ARRIVAL_TIMES: usize = 64;
 
 /// One read from the socket.
 struct Arrival {
-    /// Number of bytes received in total up to and with this read.
+    /// Number of bytes received in total, those of this read included.
     end: u64,
     received_at: Instant,
 }
--- a/src/net/frontend/log_limiter.rs
+++ b/src/net/frontend/log_limiter.rs
@@ -5,7 +5,7 @@
 /// Time without an occurrence after which the condition is logged again.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Permits one log line for a condition that comes and goes, until it has stayed away for [`LOG_INTERVAL`].
+/// Permits one log line for a condition that comes and goes, until it has not occurred for [`LOG_INTERVAL`].
 #[derive(Default)]
 pub(super) struct LogLimiter {
     /// None before the first occurrence.
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -8,7 +8,7 @@
 //! - [`connections`]: the open connections, their limit, and which one is evicted for a new one.
 //! - [`connection`]: the read, process and write cycle of one connection. Owns the three that follow:
 //!   - [`socket`]: the socket and its registration with the reactor.
-//!   - [`session`]: what each message of a client leads to. Owns the three that follow:
+//!   - [`session`]: the protocol, with what each message of a client leads to. Owns the three that follow:
 //!     - [`protocol_state`]: the phase of the protocol and its legal transitions.
 //!     - [`input`]: bytes received and not yet processed, with their [`arrivals`].
 //!     - [`output`]: responses and errors that are still to be written.
@@ -210,10 +210,10 @@
 
     /// Marks the pooler as able to execute queries and responds to the empty queries that wait for that.
     pub fn set_ready(&mut self, context: &mut Context) {
-        if self.service.ready {
+        if self.service.is_ready() {
             return;
         }
-        self.service.ready = true;
+        self.service.set_ready();
         for id in self.connections.find_all(|session| session.phase() == Phase::AwaitingEndpoints) {
             self.respond_to_empty_query(id, context);
         }
@@ -233,7 +233,7 @@
         // Connections and queries that have arrived by now are still served.
         self.acceptor.start_closing();
         self.accept(context);
-        self.service.drain = Some(Drain::new(context.reactor.now(), retry_after));
+        self.service.start_draining(Drain::new(context.reactor.now(), retry_after));
         for id in self.connections.ids() {
             self.ready(id, context);
         }
@@ -254,7 +254,7 @@
     ) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_busy = connection.session().phase() == Phase::Busy;
-        if self.service.drain.is_some() && result.is_ok() && connection.can_close() {
+        if self.service.is_draining() && result.is_ok() && connection.can_close() {
             connection.start_closing(id, context);
             result = connection.poll(id, self.service, context);
         }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -1,8 +1,10 @@
-//! The session of a client: what each of its messages leads to, and what is due from it.
+//! The session of a client: its protocol state with its input and output, and what is due from the client.
 //!
-//! A session reads messages from its input, changes its protocol state and adds responses to its output. It
+//! [`messages`] reads messages from the input, changes the state and adds responses to the output. A session
 //! neither owns the socket nor sets timers.
 
+mod messages;
+
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
@@ -11,28 +13,11 @@
 use super::input::Input;
 use super::output::{FlushStatus, Output};
 use super::protocol_state::{Phase, ProtocolState};
-use super::service_status::ServiceStatus;
 use crate::counters::Counters;
 use crate::net::buffer::{MemoryBudget, ReadStatus};
-use crate::net::postgres::message_kind::client;
-use crate::net::postgres::{self, sqlstate, CancelKey, FrameError, Message, ParsedQuery, Startup};
-use crate::net::reactor::ConnectionId;
-use crate::net::{Context, Event, Query, Response};
-
-/// What came of looking for a message to process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum MessageStatus {
-    /// A message was processed.
-    Processed,
-    /// The next message is incomplete, or a response or an endpoint must come first.
-    Blocked,
-}
-
-/// A complete message of a client.
-enum ClientMessage {
-    Startup(Startup),
-    Regular(Message),
-}
+use crate::net::postgres::{sqlstate, CancelKey, Startup};
+use crate::net::{Context, Event, Response};
+pub(super) use messages::MessageStatus;
 
 /// A client's session.
 pub(super) struct Session {
@@ -204,141 +189,6 @@
         }
     }
 
-    /// Processes the next message if it is complete and the state allows it.
-    pub(super) fn process_next_message(
-        &mut self,
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
-    ) -> Result<MessageStatus, ConnectionClosed> {
-        match self.next_message() {
-            Ok(None) => return Ok(MessageStatus::Blocked),
-            Ok(Some(ClientMessage::Startup(startup))) => self.process_startup(startup, context)?,
-            Ok(Some(ClientMessage::Regular(message))) => {
-                self.process_message(&message, id, service, context)?;
-            }
-            Err(error) => self.reject_frame(error, context)?,
-        }
-        Ok(MessageStatus::Processed)
-    }
-
-    /// Takes the next message off the input if it is complete and the state allows to process it.
-    fn next_message(&mut self) -> Result<Option<ClientMessage>, FrameError> {
-        match self.phase() {
-            Phase::Startup => Ok(self.input.take_startup()?.map(ClientMessage::Startup)),
-            Phase::Idle | Phase::SkippingToSync => Ok(self.input.take_message()?.map(ClientMessage::Regular)),
-            Phase::AwaitingEndpoints | Phase::Busy | Phase::Closing | Phase::HalfClosed => Ok(None),
-        }
-    }
-
-    /// Closes the session of a client whose input cannot be split into messages.
-    fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), ConnectionClosed> {
-        let (code, message) = match error {
-            FrameError::Malformed => (sqlstate::PROTOCOL_VIOLATION, "malformed message"),
-            FrameError::TooLong => (sqlstate::PROGRAM_LIMIT_EXCEEDED, "message too long"),
-        };
-        self.close_with_error(code, message, &mut context.counters)
-    }
-
-    fn process_startup(&mut self, startup: Startup, context: &mut Context) -> Result<(), ConnectionClosed> {
-        match startup {
-            Startup::Encryption => self.output.push_encryption_declined(),
-            Startup::Session => {
-                self.output.push_session_start(self.cancel_key)?;
-                self.state.start_session();
-                Ok(())
-            }
-            Startup::Cancel(key) => {
-                context.events.push_back(Event::CancelRequested(key));
-                Err(ConnectionClosed)
-            }
-            Startup::Unknown => {
-                let code = sqlstate::FEATURE_NOT_SUPPORTED;
-                self.close_with_error(code, "unknown protocol", &mut context.counters)
-            }
-        }
-    }
-
-    fn process_message(
-        &mut self,
-        message: &Message,
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
-        match message.kind {
-            client::TERMINATE => Err(ConnectionClosed),
-            client::SYNC => {
-                self.state.sync();
-                self.output.push_ready_for_query()
-            }
-            _ if self.phase() == Phase::SkippingToSync => Ok(()),
-            client::QUERY => self.process_query(&message.body, id, service, context),
-            client::PARSE | client::BIND | client::DESCRIBE | client::EXECUTE | client::CLOSE => {
-                self.state.skip_to_sync();
-                let code = sqlstate::FEATURE_NOT_SUPPORTED;
-                self.output.push_error_until_sync(code, "only simple queries are served")
-            }
-            client::FUNCTION_CALL => {
-                self.output.push_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served")
-            }
-            // Flush has no effect on a simple query. A password or copy message belongs to an exchange that is
-            // over or was never started.
-            client::FLUSH | client::PASSWORD => Ok(()),
-            client::COPY_DATA | client::COPY_DONE | client::COPY_FAIL => Ok(()),
-            _ => {
-                let code = sqlstate::PROTOCOL_VIOLATION;
-                self.close_with_error(code, "unknown message", &mut context.counters)
-            }
-        }
-    }
-
-    fn process_query(
-        &mut self,
-        body: &[u8],
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
-        match postgres::parse_query(body) {
-            Ok(ParsedQuery::Empty) if service.ready => self.respond_to_empty_query(),
-            Ok(ParsedQuery::Empty) => {
-                self.state.await_endpoints();
-                Ok(())
-            }
-            Ok(ParsedQuery::Query(query)) => self.start_query(query, id, service, context),
-            Err(error) => {
-                context.counters.malformed += 1;
-                self.output.push_error(sqlstate::SYNTAX_ERROR, &error.to_string())
-            }
-        }
-    }
-
-    /// Passes a query on for execution, or rejects it during the shutdown or without memory for it.
-    fn start_query(
-        &mut self,
-        mut query: Box<Query>,
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
-        let received_at = self.input.message_received_at();
-        if let Some(drain) = service.drain.filter(|drain| drain.rejects(received_at)) {
-            context.counters.rejected += 1;
-            let code = sqlstate::CANNOT_CONNECT_NOW;
-            return self.output.push_rejection(code, "shutting down", drain.retry_after());
-        }
-        // Each statement is within its own limit, but many of them together may exceed the memory.
-        let Ok(memory) = self.input.reserve_memory(query.statement.text.len()) else {
-            context.counters.rejected += 1;
-            return self.output.push_error(sqlstate::TOO_MANY_CONNECTIONS, "no memory");
-        };
-        query.statement.memory = Some(memory);
-        self.state.start_query();
-        context.events.push_back(Event::QueryReceived { client: id, query, received_at });
-        Ok(())
-    }
-
     fn respond_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
         self.state.finish_empty_query();
         self.output.push_empty_query_response()
--- /dev/null
+++ b/src/net/frontend/session/messages.rs
@@ -0,0 +1,164 @@
+//! What each message of a client leads to.
+
+use super::Session;
+use crate::net::frontend::error::ConnectionClosed;
+use crate::net::frontend::protocol_state::Phase;
+use crate::net::frontend::service_status::ServiceStatus;
+use crate::net::postgres::message_kind::client;
+use crate::net::postgres::{self, sqlstate, FrameError, Message, ParsedQuery, Startup};
+use crate::net::reactor::ConnectionId;
+use crate::net::{Context, Event, Query};
+
+/// What came of looking for a message to process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(in crate::net::frontend) enum MessageStatus {
+    /// A message was processed.
+    Processed,
+    /// The next message is incomplete, or a response or an endpoint must come first.
+    Blocked,
+}
+
+/// A complete message of a client.
+enum ClientRequest {
+    /// The first message, which has no kind.
+    Startup(Startup),
+    /// Any later message.
+    Message(Message),
+}
+
+impl Session {
+    /// Processes the next message if it is complete and the state allows it.
+    pub(in crate::net::frontend) fn process_next_message(
+        &mut self,
+        id: ConnectionId,
+        service: ServiceStatus,
+        context: &mut Context,
+    ) -> Result<MessageStatus, ConnectionClosed> {
+        match self.next_message() {
+            Ok(None) => return Ok(MessageStatus::Blocked),
+            Ok(Some(ClientRequest::Startup(startup))) => self.process_startup(startup, context)?,
+            Ok(Some(ClientRequest::Message(message))) => {
+                self.process_message(&message, id, service, context)?;
+            }
+            Err(error) => self.reject_frame(error, context)?,
+        }
+        Ok(MessageStatus::Processed)
+    }
+
+    /// Takes the next message off the input if it is complete and the state allows to process it.
+    fn next_message(&mut self) -> Result<Option<ClientRequest>, FrameError> {
+        match self.phase() {
+            Phase::Startup => Ok(self.input.take_startup()?.map(ClientRequest::Startup)),
+            Phase::Idle | Phase::SkippingToSync => Ok(self.input.take_message()?.map(ClientRequest::Message)),
+            Phase::AwaitingEndpoints | Phase::Busy | Phase::Closing | Phase::HalfClosed => Ok(None),
+        }
+    }
+
+    /// Closes the session of a client whose input cannot be split into messages.
+    fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), ConnectionClosed> {
+        let (code, message) = match error {
+            FrameError::Malformed => (sqlstate::PROTOCOL_VIOLATION, "malformed message"),
+            FrameError::TooLong => (sqlstate::PROGRAM_LIMIT_EXCEEDED, "message too long"),
+        };
+        self.close_with_error(code, message, &mut context.counters)
+    }
+
+    fn process_startup(&mut self, startup: Startup, context: &mut Context) -> Result<(), ConnectionClosed> {
+        match startup {
+            Startup::Encryption => self.output.push_encryption_declined(),
+            Startup::Session => {
+                self.output.push_session_start(self.cancel_key)?;
+                self.state.start_session();
+                Ok(())
+            }
+            Startup::Cancel(key) => {
+                context.events.push_back(Event::CancelRequested(key));
+                Err(ConnectionClosed)
+            }
+            Startup::Unknown => {
+                let code = sqlstate::FEATURE_NOT_SUPPORTED;
+                self.close_with_error(code, "unknown protocol", &mut context.counters)
+            }
+        }
+    }
+
+    fn process_message(
+        &mut self,
+        message: &Message,
+        id: ConnectionId,
+        service: ServiceStatus,
+        context: &mut Context,
+    ) -> Result<(), ConnectionClosed> {
+        match message.kind {
+            client::TERMINATE => Err(ConnectionClosed),
+            client::SYNC => {
+                self.state.sync();
+                self.output.push_ready_for_query()
+            }
+            _ if self.phase() == Phase::SkippingToSync => Ok(()),
+            client::QUERY => self.process_query(&message.body, id, service, context),
+            client::PARSE | client::BIND | client::DESCRIBE | client::EXECUTE | client::CLOSE => {
+                self.state.skip_to_sync();
+                let code = sqlstate::FEATURE_NOT_SUPPORTED;
+                self.output.push_error_until_sync(code, "only simple queries are served")
+            }
+            client::FUNCTION_CALL => {
+                self.output.push_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served")
+            }
+            // Flush has no effect on a simple query. A password or copy message belongs to an exchange that is
+            // over or was never started.
+            client::FLUSH | client::PASSWORD => Ok(()),
+            client::COPY_DATA | client::COPY_DONE | client::COPY_FAIL => Ok(()),
+            _ => {
+                let code = sqlstate::PROTOCOL_VIOLATION;
+                self.close_with_error(code, "unknown message", &mut context.counters)
+            }
+        }
+    }
+
+    fn process_query(
+        &mut self,
+        body: &[u8],
+        id: ConnectionId,
+        service: ServiceStatus,
+        context: &mut Context,
+    ) -> Result<(), ConnectionClosed> {
+        match postgres::parse_query(body) {
+            Ok(ParsedQuery::Empty) if service.is_ready() => self.respond_to_empty_query(),
+            Ok(ParsedQuery::Empty) => {
+                self.state.await_endpoints();
+                Ok(())
+            }
+            Ok(ParsedQuery::Query(query)) => self.start_query(query, id, service, context),
+            Err(error) => {
+                context.counters.malformed += 1;
+                self.output.push_error(sqlstate::SYNTAX_ERROR, &error.to_string())
+            }
+        }
+    }
+
+    /// Passes a query on for execution, or rejects it during the shutdown or without memory for it.
+    fn start_query(
+        &mut self,
+        mut query: Box<Query>,
+        id: ConnectionId,
+        service: ServiceStatus,
+        context: &mut Context,
+    ) -> Result<(), ConnectionClosed> {
+        let received_at = self.input.message_received_at();
+        if let Some(drain) = service.rejecting_drain(received_at) {
+            context.counters.rejected += 1;
+            let code = sqlstate::CANNOT_CONNECT_NOW;
+            return self.output.push_rejection(code, "shutting down", drain.retry_after());
+        }
+        // Each statement is within its own limit, but many of them together may exceed the memory.
+        let Ok(memory) = self.input.reserve_memory(query.statement.text.len()) else {
+            context.counters.rejected += 1;
+            return self.output.push_error(sqlstate::TOO_MANY_CONNECTIONS, "no memory");
+        };
+        query.statement.memory = Some(memory);
+        self.state.start_query();
+        context.events.push_back(Event::QueryReceived { client: id, query, received_at });
+        Ok(())
+    }
+}
