--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -17,7 +17,7 @@
         let value = value.trim().parse::<f64>().ok().filter(|value| value.is_finite())?;
         match name.trim() {
             LOG_POSITION_FIELD => report.log_position = Some(LogPosition::from_secs(value)),
-            PRIMARY_FIELD => report.role = Some(if value == 1.0 { Role::Primary } else { Role::Replica }),
+            PRIMARY_FIELD => report.role = Some(Role::primary_if(value == 1.0)),
             _ => {}
         }
     }
--- a/src/net/pooler/endpoints.rs
+++ b/src/net/pooler/endpoints.rs
@@ -32,7 +32,7 @@
     fn endpoint(&self, listed: ListedEndpoint) -> Endpoint {
         let ListedEndpoint { name, zone, group, status, started_at, primary, .. } = listed;
         let started_at = Some(started_at).filter(|at| *at > 0.0).map(ClusterInstant::from_secs);
-        let role = if primary { Role::Primary } else { Role::Replica };
+        let role = Role::primary_if(primary);
         Endpoint { id: name, zone: self.zone(&zone), group, status, started_at, role }
     }
 
--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -2,12 +2,10 @@
 
 use std::sync::Arc;
 
-use pg_pooler::interface::{Endpoint, EndpointStatus, Event, Outcome, UpdateKind};
+use pg_pooler::interface::{Endpoint, EndpointStatus, Event, Outcome, Role, UpdateKind};
 use pg_pooler::settings::{Consistency, RequestClass};
 use pg_pooler::time::ClusterInstant;
 
-use crate::harness::role_of;
-
 pub const GROUPS: u32 = 2;
 const ENDPOINTS_PER_GROUP: u32 = 4;
 const ZONES: u32 = 2;
@@ -105,7 +103,7 @@
                 id,
                 zone: number % ZONES,
                 group,
-                role: role_of(is_primary),
+                role: Role::primary_if(is_primary),
                 ..Endpoint::default()
             };
             Host { entry, is_primary, condition: Condition::Healthy, applied: f64::NEG_INFINITY }
@@ -174,7 +172,7 @@
             7..=11 => host.entry.status = EndpointStatus::Serving,
             _ => {}
         }
-        host.entry.role = role_of(host.is_primary);
+        host.entry.role = Role::primary_if(host.is_primary);
         let endpoints = match kind {
             UpdateKind::WatchFailed => Vec::new(),
             UpdateKind::Delta => vec![host.entry.clone()],
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,13 +1,13 @@
 //! Slow start: an endpoint that has just started gets only what its present capacity bears.
 
-use pg_pooler::interface::{Endpoint, Outcome, UpdateKind};
+use pg_pooler::interface::{Endpoint, Outcome, Role, UpdateKind};
 use pg_pooler::settings::Settings;
 use pg_pooler::time::ClusterInstant;
 use rstest::rstest;
 
 use crate::harness::{
-    default_settings, first_endpoint, primary, replica, role_of, secs, sent_endpoints, FinishedAttempt,
-    Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, PRIMARY, REMOTE_REPLICA,
+    default_settings, first_endpoint, primary, replica, secs, sent_endpoints, FinishedAttempt, Simulation,
+    BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, PRIMARY, REMOTE_REPLICA,
     REMOTE_ZONE,
 };
 
@@ -95,7 +95,7 @@
         }
         let endpoint = sim.route(id, class);
         let served = FinishedAttempt::new(id, &endpoint, Outcome::Success).elapsed(0.05 * work);
-        sim.finish_attempt_with(served.log_position(now).role(role_of(endpoint == PRIMARY)));
+        sim.finish_attempt_with(served.log_position(now).role(Role::primary_if(endpoint == PRIMARY)));
         endpoint
     }
 }
@@ -236,8 +236,9 @@
                 sent_at.push(sim.now);
             }
             let outcome = if is_primary { Outcome::Success } else { Outcome::Ineligible };
-            let finished =
-                FinishedAttempt::new(&id, &endpoint, outcome).number(attempt).role(role_of(is_primary));
+            let finished = FinishedAttempt::new(&id, &endpoint, outcome)
+                .number(attempt)
+                .role(Role::primary_if(is_primary));
             let position = if is_primary { sim.now } else { sim.now - 5.0 };
             target = first_endpoint(&sim.finish_attempt_with(finished.log_position(position)));
             attempt += 1;
