--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -1,16 +1,17 @@
-//! The reply of a database host to one query, as far as it has been received.
+//! The reply of an endpoint to one query, as far as it has been received.
 
-use crate::interface::{LoadReport, Outcome, Role};
+use std::time::Duration;
+
+use crate::interface::{EndpointId, LoadReport, Outcome, Role};
 use crate::load_report;
 use crate::net::buffer::MemoryReservation;
-use crate::net::postgres::message_kind::server as message_kind;
-use crate::net::postgres::{self, sqlstate, Message};
-use crate::net::Task;
+use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
+use crate::net::{Completion, Task};
 use crate::time::LogPosition;
 
 /// The parameter that holds the commit time of the log position (Unix milliseconds).
 const LOG_POSITION_PARAMETER: &str = "commit_clock";
-/// The parameter that holds the role of the database host.
+/// The parameter that holds the role of the endpoint.
 const ROLE_PARAMETER: &str = "server_role";
 const PRIMARY_ROLE: &str = "writer";
 const REPLICA_ROLE: &str = "reader";
@@ -28,13 +29,17 @@
 
 impl ResultSet {
     /// The state after a message of this kind; none if the message is out of order.
-    fn after(self, kind: u8) -> Option<ResultSet> {
+    fn after(self, kind: BackendMessageKind) -> Option<ResultSet> {
         match (self, kind) {
-            (ResultSet::AwaitingRowDescription, message_kind::ROW_DESCRIPTION) => {
+            (ResultSet::AwaitingRowDescription, BackendMessageKind::RowDescription) => {
                 Some(ResultSet::AwaitingDataRow)
             }
-            (ResultSet::AwaitingDataRow, message_kind::DATA_ROW) => Some(ResultSet::AwaitingCommandComplete),
-            (ResultSet::AwaitingCommandComplete, message_kind::COMMAND_COMPLETE) => Some(ResultSet::Complete),
+            (ResultSet::AwaitingDataRow, BackendMessageKind::DataRow) => {
+                Some(ResultSet::AwaitingCommandComplete)
+            }
+            (ResultSet::AwaitingCommandComplete, BackendMessageKind::CommandComplete) => {
+                Some(ResultSet::Complete)
+            }
             _ => None,
         }
     }
@@ -47,7 +52,7 @@
     Incomplete,
     /// The reply has ended and the connection is ready for the next query.
     ReadyForQuery,
-    /// The database host is about to close the connection.
+    /// The endpoint is about to close the connection.
     FatalError,
 }
 
@@ -69,13 +74,13 @@
     /// The SQLSTATE of the latest ErrorResponse.
     error_code: Option<String>,
     /// The messages of the result set as they were received; empty for a health check.
-    pub value: Vec<u8>,
-    /// The log position that the database host had reached.
-    pub log_position: Option<LogPosition>,
-    /// The role that the database host says it has.
-    pub role: Option<Role>,
+    value: Vec<u8>,
+    /// The log position that the endpoint had reached.
+    log_position: Option<LogPosition>,
+    /// The role that the endpoint says it has.
+    role: Option<Role>,
     /// The load report that a health check has asked for, if it could be parsed.
-    pub report: Option<LoadReport>,
+    report: Option<LoadReport>,
 }
 
 impl Reply {
@@ -93,20 +98,47 @@
         self.result_set != ResultSet::AwaitingRowDescription || self.error_code.is_some()
     }
 
+    /// Whether a load report has been received and could be parsed.
+    pub fn has_load_report(&self) -> bool {
+        self.report.is_some()
+    }
+
+    /// The end of a task with this outcome that this is the reply to.
+    pub fn into_completion(
+        self,
+        task: Task,
+        endpoint: EndpointId,
+        outcome: Outcome,
+        elapsed: Duration,
+    ) -> Completion {
+        Completion {
+            task,
+            endpoint,
+            outcome,
+            elapsed,
+            log_position: self.log_position,
+            role: self.role,
+            report: self.report.unwrap_or_default(),
+            value: self.value,
+        }
+    }
+
     /// Adds a message. `value_memory` is the memory that the value takes.
     pub fn add_message(
         &mut self,
-        message: &Message,
+        message: &BackendMessage,
         task: &Task,
         value_memory: &mut MemoryReservation,
     ) -> Result<ReplyStatus, ReplyError> {
         match message.kind {
-            message_kind::PARAMETER_STATUS => self.add_parameter(&message.body),
-            message_kind::ROW_DESCRIPTION | message_kind::DATA_ROW | message_kind::COMMAND_COMPLETE => {
+            BackendMessageKind::ParameterStatus => self.add_parameter(&message.body),
+            BackendMessageKind::RowDescription
+            | BackendMessageKind::DataRow
+            | BackendMessageKind::CommandComplete => {
                 self.add_result_message(message, task, value_memory)?;
             }
-            message_kind::ERROR_RESPONSE => return Ok(self.add_error(&message.body)),
-            message_kind::READY_FOR_QUERY => return Ok(ReplyStatus::ReadyForQuery),
+            BackendMessageKind::ErrorResponse => return Ok(self.add_error(&message.body)),
+            BackendMessageKind::ReadyForQuery => return Ok(ReplyStatus::ReadyForQuery),
             _ => return Err(ReplyError::UnexpectedMessage),
         }
         Ok(ReplyStatus::Incomplete)
@@ -126,14 +158,14 @@
 
     fn add_result_message(
         &mut self,
-        message: &Message,
+        message: &BackendMessage,
         task: &Task,
         value_memory: &mut MemoryReservation,
     ) -> Result<(), ReplyError> {
         self.result_set = self.result_set.after(message.kind).ok_or(ReplyError::UnexpectedMessage)?;
         match task {
             Task::HealthCheck => {
-                if message.kind == message_kind::DATA_ROW {
+                if message.kind == BackendMessageKind::DataRow {
                     self.report = postgres::single_column(&message.body).and_then(load_report::parse);
                 }
                 Ok(())
@@ -146,7 +178,7 @@
     /// the memory budget.
     fn append_to_value(
         &mut self,
-        message: &Message,
+        message: &BackendMessage,
         value_memory: &mut MemoryReservation,
     ) -> Result<(), ReplyError> {
         let size = self.value.len() + message.body.len();
@@ -166,7 +198,7 @@
     }
 }
 
-/// The outcome of an exchange that the database host has answered with an error.
+/// The outcome of an exchange that the endpoint has answered with an error.
 fn error_outcome(code: &str) -> Outcome {
     match code {
         sqlstate::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -6,7 +6,7 @@
 use super::arrivals::ArrivalTimes;
 use super::error::ConnectionClosed;
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
-use crate::net::postgres::{self, FrameError, Message, Startup};
+use crate::net::postgres::{self, ClientMessage, FrameError, Startup};
 
 /// The input buffer with its arrival times.
 pub(super) struct Input {
@@ -83,7 +83,7 @@
     }
 
     /// Takes the next message, or returns `None` until it is complete.
-    pub(super) fn take_message(&mut self) -> Result<Option<Message>, FrameError> {
+    pub(super) fn take_message(&mut self) -> Result<Option<ClientMessage>, FrameError> {
         postgres::read_client_message(&mut self.buffer)
     }
 
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -4,8 +4,9 @@
 use crate::net::frontend::error::ConnectionClosed;
 use crate::net::frontend::protocol_state::Phase;
 use crate::net::frontend::service_status::ServiceStatus;
-use crate::net::postgres::message_kind::client;
-use crate::net::postgres::{self, sqlstate, FrameError, Message, ParsedQuery, Startup};
+use crate::net::postgres::{
+    self, sqlstate, ClientMessage, ClientMessageKind, FrameError, ParsedQuery, Startup,
+};
 use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Event, Query};
 
@@ -23,7 +24,7 @@
     /// The first message, which has no kind.
     Startup(Startup),
     /// Any later message.
-    Message(Message),
+    Message(ClientMessage),
 }
 
 impl Session {
@@ -84,32 +85,43 @@
 
     fn process_message(
         &mut self,
-        message: &Message,
+        message: &ClientMessage,
         id: ConnectionId,
         service: ServiceStatus,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
         match message.kind {
-            client::TERMINATE => Err(ConnectionClosed),
-            client::SYNC => {
+            Some(ClientMessageKind::Terminate) => Err(ConnectionClosed),
+            Some(ClientMessageKind::Sync) => {
                 self.state.sync();
                 self.output.push_ready_for_query()
             }
             _ if self.phase() == Phase::SkippingToSync => Ok(()),
-            client::QUERY => self.process_query(&message.body, id, service, context),
-            client::PARSE | client::BIND | client::DESCRIBE | client::EXECUTE | client::CLOSE => {
+            Some(ClientMessageKind::Query) => self.process_query(&message.body, id, service, context),
+            Some(
+                ClientMessageKind::Parse
+                | ClientMessageKind::Bind
+                | ClientMessageKind::Describe
+                | ClientMessageKind::Execute
+                | ClientMessageKind::Close,
+            ) => {
                 self.state.skip_to_sync();
                 let code = sqlstate::FEATURE_NOT_SUPPORTED;
                 self.output.push_error_until_sync(code, "only simple queries are served")
             }
-            client::FUNCTION_CALL => {
+            Some(ClientMessageKind::FunctionCall) => {
                 self.output.push_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served")
             }
             // Flush has no effect on a simple query. A password or copy message belongs to an exchange that is
             // over or was never started.
-            client::FLUSH | client::PASSWORD => Ok(()),
-            client::COPY_DATA | client::COPY_DONE | client::COPY_FAIL => Ok(()),
-            _ => {
+            Some(
+                ClientMessageKind::Flush
+                | ClientMessageKind::Password
+                | ClientMessageKind::CopyData
+                | ClientMessageKind::CopyDone
+                | ClientMessageKind::CopyFail,
+            ) => Ok(()),
+            None => {
                 let code = sqlstate::PROTOCOL_VIOLATION;
                 self.close_with_error(code, "unknown message", &mut context.counters)
             }
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -76,15 +76,6 @@
     }
 }
 
-/// The role of an endpoint that is the primary, or is not.
-pub const fn role_of(is_primary: bool) -> Role {
-    if is_primary {
-        Role::Primary
-    } else {
-        Role::Replica
-    }
-}
-
 /// A list entry that names its endpoint as the primary.
 pub fn primary(id: &str, zone: u32) -> Endpoint {
     Endpoint { role: Role::Primary, ..replica(id, zone) }
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -3,13 +3,13 @@
 use std::fmt;
 use std::sync::Arc;
 
-use pg_pooler::interface::{Action, AttemptResult, Event, LoadReport, Outcome, Request, UpdateKind};
+use pg_pooler::interface::{Action, AttemptResult, Event, LoadReport, Outcome, Request, Role, UpdateKind};
 use pg_pooler::settings::{Settings, StaleReadHandling};
 use pg_pooler::time::LogPosition;
 
 use super::checker::{Checker, Violation};
 use super::hosts::{Hosts, GROUPS};
-use crate::harness::{default_settings, role_of, secs, Simulation, KEYED_WRITE};
+use crate::harness::{default_settings, secs, Simulation, KEYED_WRITE};
 
 /// Past every deadline, so that each request must have been answered.
 const SETTLING_TIME: f64 = 5.0;
@@ -219,7 +219,7 @@
         let log_position = host.reported_position(self.sim.now, &mut self.random);
         LoadReport {
             log_position: log_position.map(LogPosition::from_secs),
-            role: Some(role_of(host.is_primary)),
+            role: Some(Role::primary_if(host.is_primary)),
         }
     }
 
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -5,10 +5,10 @@
 use rstest::rstest;
 
 use crate::harness::{
-    default_settings, final_answers, first_endpoint, primary, rejects_with_retry_after, replica, role_of,
-    secs, sent_endpoints, FinishedAttempt, Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE,
-    LOCAL_REPLICA, LOCAL_ZONE, NON_IDEMPOTENT_WRITE, NOWHERE, PRIMARY, REMOTE_REPLICA, REMOTE_ZONE,
-    SESSION_READ, STRONG_READ,
+    default_settings, final_answers, first_endpoint, primary, rejects_with_retry_after, replica, secs,
+    sent_endpoints, FinishedAttempt, Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA,
+    LOCAL_ZONE, NON_IDEMPOTENT_WRITE, NOWHERE, PRIMARY, REMOTE_REPLICA, REMOTE_ZONE, SESSION_READ,
+    STRONG_READ,
 };
 
 fn succeed(sim: &mut Simulation, id: &str) {
@@ -161,7 +161,8 @@
     let entries = vec![primary(REMOTE_REPLICA, REMOTE_ZONE), replica(PRIMARY, LOCAL_ZONE)];
     sim.update_endpoints(UpdateKind::Delta, entries);
     for (endpoint, is_primary) in [(REMOTE_REPLICA, true), (PRIMARY, false)] {
-        let claim = FinishedAttempt::new("none", endpoint, Outcome::Success).role(role_of(is_primary));
+        let claim =
+            FinishedAttempt::new("none", endpoint, Outcome::Success).role(Role::primary_if(is_primary));
         sim.finish_attempt_with(claim);
     }
     sim.advance_time(0.5);
