--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -9,7 +9,7 @@
 use super::reactor::ConnectionId;
 use crate::endpoint_list::ListedEndpoint;
 use crate::interface::{EndpointId, LoadReport, Outcome, RequestId, Role, UpdateKind};
-use crate::time::LogPosition;
+use crate::time::{ClusterInstant, LogPosition};
 
 /// A statement as the client wrote it.
 #[derive(Debug)]
@@ -45,9 +45,8 @@
     pub group: u32,
     /// How long the client waits, counted from when the query was received.
     pub timeout: Duration,
-    /// The time of the commit that the query must see, where the client carries one (Unix seconds on the clock
-    /// of the database hosts).
-    pub session_token: Option<f64>,
+    /// The time of the commit that the query must see, where the client carries one.
+    pub session_token: Option<ClusterInstant>,
     /// Whether the query carries an idempotency key.
     pub has_idempotency_key: bool,
     /// The session that the query belongs to, where it names one.
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -10,7 +10,7 @@
 use crate::net::reactor::{span_of, ConnectionId, Reactor};
 use crate::net::{Context, Query, Response};
 use crate::settings::{Consistency, Idempotency};
-use crate::time::{ClusterInstant, LocalInstant, Span};
+use crate::time::Span;
 
 /// What the pooler has to know of a request class.
 struct QueryClass {
@@ -78,9 +78,10 @@
             group: query.group,
             // The query may have waited behind others of its connection since it was received.
             timeout: span_of(query.timeout) - span_of(waited),
+            // As if both clocks agreed: the policy converts the age back in the same way.
             session_token_age: query
                 .session_token
-                .map(|committed_at| reactor.policy_time(now) - local_commit_time(committed_at)),
+                .map(|committed_at| reactor.policy_time(now) - committed_at.to_local(Span::ZERO)),
             session: session.map(Into::into),
             tenant: self.tenant(&query.tenant),
             predicted_work: None,
@@ -88,12 +89,6 @@
     }
 }
 
-/// The time of a commit (Unix seconds on the database hosts' clock) as if both clocks agreed. The policy takes
-/// the commit's age and converts it back in the same way.
-fn local_commit_time(committed_at: f64) -> LocalInstant {
-    ClusterInstant::from_secs(committed_at).to_local(Span::ZERO)
-}
-
 impl Pooler {
     /// Passes a client's query to the policy, or rejects it if it is invalid.
     pub(super) fn on_query(
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -6,6 +6,8 @@
 
 use thiserror::Error;
 
+use crate::time::ClusterInstant;
+
 const ID: &str = "id";
 const CLASS: &str = "c";
 const TENANT: &str = "t";
@@ -59,8 +61,8 @@
     pub timeout: Duration,
     /// Where in the query the digits of the timeout are.
     pub timeout_position: Range<usize>,
-    /// The commit that the query must see (Unix seconds).
-    pub session_token: Option<f64>,
+    /// The time of the commit that the query must see.
+    pub session_token: Option<ClusterInstant>,
     pub has_idempotency_key: bool,
 }
 
@@ -156,10 +158,10 @@
 }
 
 /// Parses the optional session token. A token of 0 requires no commit to be seen.
-fn parse_session_token(value: Option<RawValue>) -> Result<Option<f64>, CommentError> {
+fn parse_session_token(value: Option<RawValue>) -> Result<Option<ClusterInstant>, CommentError> {
     let Some(value) = value else { return Ok(None) };
     let millis = parse_millis(value.text).ok_or(CommentError::InvalidSessionToken)?;
-    Ok((millis > 0).then(|| to_seconds(millis)))
+    Ok((millis > 0).then(|| ClusterInstant::from_secs(millis as f64 / MILLIS_PER_SECOND)))
 }
 
 fn parse_group(value: Option<RawValue>) -> Option<u32> {
@@ -179,7 +181,3 @@
     }
     text.parse().ok()
 }
-
-fn to_seconds(millis: u64) -> f64 {
-    millis as f64 / MILLIS_PER_SECOND
-}
--- a/src/net/postgres/tests/query.rs
+++ b/src/net/postgres/tests/query.rs
@@ -8,6 +8,7 @@
 use super::super::query_comment::CommentError;
 use super::*;
 use crate::net::Query;
+use crate::time::ClusterInstant;
 
 const MINIMAL: &str = "/*id=a1,c=read,cluster=2,d=500*/ SELECT 1";
 
@@ -44,7 +45,7 @@
     let query =
         parse_valid("/*id=a,c=w,t=shop,cluster=0,d=1,k=key,r=1,after=1700000000500,x=y*/ SELECT 'user 7'");
     assert_eq!(query.tenant, "shop");
-    assert_eq!(query.session_token, Some(1_700_000_000.5));
+    assert_eq!(query.session_token, Some(ClusterInstant::from_secs(1_700_000_000.5)));
     assert!(query.has_idempotency_key);
     assert_eq!(query.session.as_deref(), Some("user 7"));
 }
@@ -74,7 +75,7 @@
 #[case::fifteen_digits("999999999999999", Some(999_999_999_999.999))]
 fn session_token_is_in_milliseconds(#[case] value: &str, #[case] expected: Option<f64>) {
     let query = parse_valid(&format!("/*id=a,c=r,cluster=2,d=5,after={value}*/ SELECT 1"));
-    assert_eq!(query.session_token, expected);
+    assert_eq!(query.session_token, expected.map(ClusterInstant::from_secs));
 }
 
 #[rstest]
