--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,9 @@
 //! sends it there. [`cli`] runs the program; the network code behind it is private.
 //!
 //! [`Policy`] makes every decision; [`interface`] holds the types of its events and actions. The program that
-//! hosts a policy passes events to it and carries out the actions that it gets back:
+//! hosts a policy passes events to it and carries out the actions that it gets back. [`settings`] holds what a
+//! policy is created with, [`config`] decodes it from JSON, and [`time`] has the types of its times.
+//! `docs/architecture.md` shows the modules and the way of a request.
 //!
 //! ```
 //! use pg_pooler::interface::{Action, Endpoint, EndpointStatus, Event, Role, UpdateKind};
