--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -14,8 +14,6 @@
 /// The user and the database that the startup message names.
 const USER: &str = "app";
 const DATABASE: &str = "shop";
-/// The body of an Authentication message that asks for nothing more.
-const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
 /// How long a query may wait in the output buffer (seconds). It says how much time its client has left, and
 /// hosts may be told at most 0.15 s more than that.
@@ -283,7 +281,9 @@
     fn process_startup_message(&mut self, message: &BackendMessage, now: f64) -> Progress {
         match message.kind {
             BackendMessageKind::ParameterStatus => Progress::Pending,
-            BackendMessageKind::Authentication if message.body == AUTHENTICATION_OK => Progress::Pending,
+            BackendMessageKind::Authentication if message.body == postgres::AUTHENTICATION_OK => {
+                Progress::Pending
+            }
             BackendMessageKind::ErrorResponse => Progress::Failed(startup_error_outcome(&message.body)),
             BackendMessageKind::ReadyForQuery => match self.take_exchange() {
                 Some((exchange, _)) => self.send_query(exchange, now),
@@ -310,8 +310,7 @@
 
 /// The outcome of an exchange whose session the database host has refused to start.
 fn startup_error_outcome(body: &[u8]) -> Outcome {
-    let (code, _) = postgres::parse_error_response(body);
-    if code == sqlstate::TOO_MANY_CONNECTIONS {
+    if postgres::parse_error_response(body).sqlstate == sqlstate::TOO_MANY_CONNECTIONS {
         Outcome::Overloaded
     } else {
         Outcome::ConnectFailed
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -3,7 +3,7 @@
 use crate::interface::{LoadReport, Outcome};
 use crate::load_report;
 use crate::net::buffer::MemoryReservation;
-use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
+use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind, ParameterStatus, Severity};
 use crate::net::Task;
 
 /// The parameter that holds the commit time of the log position (Unix milliseconds).
@@ -117,11 +117,11 @@
 
     fn add_parameter(&mut self, body: &[u8]) {
         match postgres::parse_parameter_status(body) {
-            Some((LOG_POSITION_PARAMETER, value)) => {
+            Some(ParameterStatus { name: LOG_POSITION_PARAMETER, value }) => {
                 self.log_position = value.parse::<f64>().ok().map(|millis| millis / 1000.0);
             }
-            Some((ROLE_PARAMETER, PRIMARY_ROLE)) => self.primary = Some(true),
-            Some((ROLE_PARAMETER, REPLICA_ROLE)) => self.primary = Some(false),
+            Some(ParameterStatus { name: ROLE_PARAMETER, value: PRIMARY_ROLE }) => self.primary = Some(true),
+            Some(ParameterStatus { name: ROLE_PARAMETER, value: REPLICA_ROLE }) => self.primary = Some(false),
             _ => {}
         }
     }
@@ -158,12 +158,11 @@
     }
 
     fn add_error(&mut self, body: &[u8]) -> ReplyStatus {
-        let (code, fatal) = postgres::parse_error_response(body);
-        self.error_code = Some(code);
-        if fatal {
-            ReplyStatus::FatalError
-        } else {
-            ReplyStatus::Incomplete
+        let error = postgres::parse_error_response(body);
+        self.error_code = Some(error.sqlstate);
+        match error.severity {
+            Severity::Fatal => ReplyStatus::FatalError,
+            Severity::Error => ReplyStatus::Incomplete,
         }
     }
 }
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -165,7 +165,7 @@
 
     fn add_connection(&mut self, stream: TcpStream, context: &mut Context) {
         let _ = stream.set_nodelay(true);
-        let cancel_key = CancelKey(self.rng.u32(..), self.rng.u32(..));
+        let cancel_key = CancelKey { process_id: self.rng.u32(..), secret: self.rng.u32(..) };
         let now = context.reactor.now();
         let connection = Connection::new(stream, cancel_key, &self.budget, self.response_timeout, now);
         let id = self.connections.insert(connection);
--- a/src/net/frontend/response.rs
+++ b/src/net/frontend/response.rs
@@ -1,7 +1,7 @@
 //! Writes responses and errors to the output buffer of a connection.
 
 use super::connection::{Connection, ConnectionClosed, State};
-use crate::net::postgres::{self, sqlstate};
+use crate::net::postgres::{self, sqlstate, Severity};
 use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Response};
 
@@ -39,7 +39,7 @@
         message: &str,
         detail: Option<&str>,
     ) -> Result<(), ConnectionClosed> {
-        let error = postgres::error_response("ERROR", code, message, detail);
+        let error = postgres::error_response(Severity::Error, code, message, detail);
         Ok(self.output.push(&[error, postgres::ready_for_query()].concat())?)
     }
 
@@ -52,7 +52,7 @@
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
         context.counters.malformed += 1;
-        self.output.push(&postgres::error_response("FATAL", code, message, None))?;
+        self.output.push(&postgres::error_response(Severity::Fatal, code, message, None))?;
         self.start_closing(id, context);
         Ok(())
     }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{Connection, ConnectionClosed, State};
 use super::ServiceStatus;
-use crate::net::postgres::{self, sqlstate, ClientMessageKind, FrameError, ParsedQuery, Startup};
+use crate::net::postgres::{self, sqlstate, ClientMessageKind, FrameError, ParsedQuery, Severity, Startup};
 use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Event, Query};
 
@@ -83,7 +83,7 @@
     ) -> Result<(), ConnectionClosed> {
         match startup {
             // Encryption is not supported: the client may go on without.
-            Startup::Encryption => Ok(self.output.push(b"N")?),
+            Startup::Encryption => Ok(self.output.push(postgres::ENCRYPTION_NOT_SUPPORTED)?),
             Startup::Session => {
                 self.output.push(&postgres::session_start(self.cancel_key))?;
                 self.state = State::Idle;
@@ -141,7 +141,7 @@
     fn reject_extended_query(&mut self) -> Result<(), ConnectionClosed> {
         self.state = State::SkippingToSync;
         let message = "only simple queries are served";
-        let error = postgres::error_response("ERROR", sqlstate::FEATURE_NOT_SUPPORTED, message, None);
+        let error = postgres::error_response(Severity::Error, sqlstate::FEATURE_NOT_SUPPORTED, message, None);
         Ok(self.output.push(&error)?)
     }
 
--- a/src/net/postgres/backend_messages.rs
+++ b/src/net/postgres/backend_messages.rs
@@ -82,18 +82,27 @@
     text.bytes().all(|byte| (b' '..=b'~').contains(&byte))
 }
 
-/// Returns the name and the value of a ParameterStatus.
-pub(crate) fn parse_parameter_status(body: &[u8]) -> Option<(&str, &str)> {
+/// A parameter of the session and its value.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct ParameterStatus<'a> {
+    /// The name of the parameter.
+    pub name: &'a str,
+    /// Its present value.
+    pub value: &'a str,
+}
+
+/// Parses the body of a ParameterStatus, or returns `None` if it is malformed.
+pub(crate) fn parse_parameter_status(body: &[u8]) -> Option<ParameterStatus<'_>> {
     let text = std::str::from_utf8(body).ok()?;
     let (name, value) = text.strip_suffix('\0')?.split_once('\0')?;
-    (!value.contains('\0')).then_some((name, value))
+    (!value.contains('\0')).then_some(ParameterStatus { name, value })
 }
 
 /// Writes a ParameterStatus.
-pub(super) fn write_parameter_status(out: &mut Vec<u8>, name: &str, value: &str) {
+pub(super) fn write_parameter_status(out: &mut Vec<u8>, parameter: &ParameterStatus) {
     write_message(out, BackendMessageKind::ParameterStatus, |out| {
-        push_string(out, name);
-        push_string(out, value);
+        push_string(out, parameter.name);
+        push_string(out, parameter.value);
     });
 }
 
--- a/src/net/postgres/error_response.rs
+++ b/src/net/postgres/error_response.rs
@@ -12,13 +12,51 @@
 const MESSAGE: u8 = b'M';
 const DETAIL: u8 = b'D';
 
-/// Returns an ErrorResponse.
-pub(crate) fn error_response(severity: &str, code: &str, message: &str, detail: Option<&str>) -> Vec<u8> {
+/// The severities of errors that end the session.
+const FATAL: &str = "FATAL";
+const PANIC: &str = "PANIC";
+/// The severity of an error after which the session continues.
+const ERROR: &str = "ERROR";
+
+/// What an error means for the session.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Severity {
+    /// The session continues.
+    Error,
+    /// The session ends.
+    Fatal,
+}
+
+impl Severity {
+    fn name(self) -> &'static str {
+        match self {
+            Severity::Error => ERROR,
+            Severity::Fatal => FATAL,
+        }
+    }
+}
+
+/// What the pooler reads in an ErrorResponse of an endpoint.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct ErrorResponse {
+    /// Its code, see [`sqlstate`](super::sqlstate); empty where it has none.
+    pub sqlstate: String,
+    /// What it means for the session.
+    pub severity: Severity,
+}
+
+/// Returns an ErrorResponse for a client.
+pub(crate) fn error_response(
+    severity: Severity,
+    sqlstate: &str,
+    message: &str,
+    detail: Option<&str>,
+) -> Vec<u8> {
     let mut out = Vec::new();
     write_message(&mut out, BackendMessageKind::ErrorResponse, |out| {
-        push_field(out, SEVERITY, severity);
-        push_field(out, SEVERITY_UNTRANSLATED, severity);
-        push_field(out, SQLSTATE, code);
+        push_field(out, SEVERITY, severity.name());
+        push_field(out, SEVERITY_UNTRANSLATED, severity.name());
+        push_field(out, SQLSTATE, sqlstate);
         push_field(out, MESSAGE, message);
         if let Some(detail) = detail {
             push_field(out, DETAIL, detail);
@@ -33,17 +71,21 @@
     push_string(out, value);
 }
 
-/// Returns the SQLSTATE code of an ErrorResponse, and whether its severity ends the session.
-pub(crate) fn parse_error_response(body: &[u8]) -> (String, bool) {
-    let mut code = String::new();
-    let mut fatal = false;
+/// Parses the body of an ErrorResponse. Of several codes the last counts.
+pub(crate) fn parse_error_response(body: &[u8]) -> ErrorResponse {
+    let mut sqlstate = String::new();
+    let mut severity = Severity::Error;
     for field in body.split(|byte| *byte == 0) {
         let Some((kind, value)) = field.split_first() else { continue };
         match *kind {
-            SQLSTATE => code = String::from_utf8_lossy(value).into_owned(),
-            SEVERITY | SEVERITY_UNTRANSLATED => fatal |= matches!(value, b"FATAL" | b"PANIC"),
+            SQLSTATE => sqlstate = String::from_utf8_lossy(value).into_owned(),
+            SEVERITY | SEVERITY_UNTRANSLATED if ends_session(value) => severity = Severity::Fatal,
             _ => {}
         }
     }
-    (code, fatal)
+    ErrorResponse { sqlstate, severity }
+}
+
+fn ends_session(severity: &[u8]) -> bool {
+    severity == FATAL.as_bytes() || severity == PANIC.as_bytes()
 }
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -30,12 +30,15 @@
 mod tests;
 
 pub(crate) use backend_messages::{
-    empty_query_response, parse_parameter_status, ready_for_query, single_column,
+    empty_query_response, parse_parameter_status, ready_for_query, single_column, ParameterStatus,
 };
-pub(crate) use error_response::{error_response, parse_error_response};
+pub(crate) use error_response::{error_response, parse_error_response, Severity};
 pub(crate) use framing::{read_backend_message, read_client_message, FrameError};
 pub(crate) use message::{append_message, BackendMessage, ClientMessage};
 pub(crate) use message_kind::{BackendMessageKind, ClientMessageKind};
 pub(crate) use query::{parse_query, query_message, ParsedQuery};
 pub(crate) use sqlstate::is_statement_error;
-pub(crate) use startup::{read_startup, session_start, startup_message, CancelKey, Startup};
+pub(crate) use startup::{
+    read_startup, session_start, startup_message, CancelKey, Startup, AUTHENTICATION_OK,
+    ENCRYPTION_NOT_SUPPORTED,
+};
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -1,18 +1,25 @@
 //! The start of a session: the packets that clients send first, and the answer to them.
 
-use super::backend_messages::{ready_for_query, write_parameter_status};
+use super::backend_messages::{ready_for_query, write_parameter_status, ParameterStatus};
 use super::framing::FrameError;
 use super::message::{write_message, write_with_length};
 use super::message_kind::BackendMessageKind;
 use super::strings::push_string;
 use crate::net::buffer::RingBuffer;
 
-/// The longest startup packet: it holds a few names.
+/// The words of a startup packet (bytes). They are its length, its request code and those of a cancel key.
+const WORD_SIZE: usize = 4;
+/// The places of the words in a packet, counted in words.
+const REQUEST_CODE: usize = 1;
+const CANCEL_PROCESS_ID: usize = 2;
+const CANCEL_SECRET: usize = 3;
+
+/// The longest startup packet (bytes): it holds a few names.
 const MAX_STARTUP_PACKET: usize = 10_000;
-/// The length and the request code.
-const MIN_STARTUP_PACKET: usize = 8;
-/// The length, the request code and the two words of the key.
-const CANCEL_PACKET: usize = 16;
+/// The length and the request code (bytes).
+const MIN_STARTUP_PACKET: usize = 2 * WORD_SIZE;
+/// The length, the request code and the two words of the key (bytes).
+const CANCEL_PACKET: usize = 4 * WORD_SIZE;
 
 /// A protocol version has its major number in the upper half and its minor number in the lower half.
 const MINOR_VERSION_BITS: u32 = 16;
@@ -23,29 +30,35 @@
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
 
-/// The body of an authentication message that says that the client is authenticated.
-const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-/// The parameters that a client is told when its session starts.
-const SESSION_PARAMETERS: [(&str, &str); 6] = [
-    ("server_version", "15.0"),
-    ("server_encoding", "UTF8"),
-    ("client_encoding", "UTF8"),
-    ("DateStyle", "ISO, MDY"),
-    ("integer_datetimes", "on"),
-    ("standard_conforming_strings", "on"),
+/// The answer to a client that requests encryption, which has no kind and no length.
+pub(crate) const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
+/// The body of an Authentication message that asks for nothing more.
+pub(crate) const AUTHENTICATION_OK: [u8; 4] = [0; 4];
+/// The parameters that a client receives when its session starts.
+const SESSION_PARAMETERS: [ParameterStatus; 6] = [
+    ParameterStatus { name: "server_version", value: "15.0" },
+    ParameterStatus { name: "server_encoding", value: "UTF8" },
+    ParameterStatus { name: "client_encoding", value: "UTF8" },
+    ParameterStatus { name: "DateStyle", value: "ISO, MDY" },
+    ParameterStatus { name: "integer_datetimes", value: "on" },
+    ParameterStatus { name: "standard_conforming_strings", value: "on" },
 ];
 
-/// The process number and the secret that a client receives when its session starts. It repeats them to
-/// cancel its query.
+/// What a client receives when its session starts, and repeats to cancel its query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct CancelKey(pub u32, pub u32);
+pub(crate) struct CancelKey {
+    /// The process that serves the session in PostgreSQL. The pooler draws a random number.
+    pub process_id: u32,
+    /// A random number.
+    pub secret: u32,
+}
 
 /// The request in the first packet of a client.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Startup {
     /// Starts a session.
     Session,
-    /// Asks for an encrypted connection.
+    /// Requests an encrypted connection.
     Encryption,
     /// Cancels the query of the client that received this key.
     Cancel(CancelKey),
@@ -71,7 +84,7 @@
 
 /// Parses a complete packet, with its length.
 fn parse_startup(packet: &[u8]) -> Result<Startup, FrameError> {
-    match word(packet, 1).unwrap_or_default() {
+    match word(packet, REQUEST_CODE).unwrap_or_default() {
         SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(Startup::Encryption),
         CANCEL_REQUEST => parse_cancel_key(packet).map(Startup::Cancel).ok_or(FrameError::Malformed),
         version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => Ok(Startup::Session),
@@ -83,16 +96,16 @@
     if packet.len() != CANCEL_PACKET {
         return None;
     }
-    Some(CancelKey(word(packet, 2)?, word(packet, 3)?))
+    Some(CancelKey { process_id: word(packet, CANCEL_PROCESS_ID)?, secret: word(packet, CANCEL_SECRET)? })
 }
 
-/// Returns the word of four bytes at `index`, counted in words.
+/// Returns the word at `index`, counted in words.
 fn word(packet: &[u8], index: usize) -> Option<u32> {
-    let bytes = packet.get(4 * index..)?.first_chunk()?;
+    let bytes = packet.get(WORD_SIZE * index..)?.first_chunk()?;
     Some(u32::from_be_bytes(*bytes))
 }
 
-/// Returns the packet that starts a session with a database host.
+/// Returns the packet that starts a session with an endpoint.
 pub(crate) fn startup_message(user: &str, database: &str) -> Vec<u8> {
     let mut out = Vec::new();
     write_with_length(&mut out, |out| {
@@ -106,15 +119,15 @@
 }
 
 /// Returns the answer to a client's startup packet, up to and with ReadyForQuery.
-pub(crate) fn session_start(CancelKey(process, secret): CancelKey) -> Vec<u8> {
+pub(crate) fn session_start(cancel_key: CancelKey) -> Vec<u8> {
     let mut out = Vec::new();
     write_message(&mut out, BackendMessageKind::Authentication, |out| out.extend(AUTHENTICATION_OK));
-    for (name, value) in SESSION_PARAMETERS {
-        write_parameter_status(&mut out, name, value);
+    for parameter in SESSION_PARAMETERS {
+        write_parameter_status(&mut out, &parameter);
     }
     write_message(&mut out, BackendMessageKind::BackendKeyData, |out| {
-        out.extend(process.to_be_bytes());
-        out.extend(secret.to_be_bytes());
+        out.extend(cancel_key.process_id.to_be_bytes());
+        out.extend(cancel_key.secret.to_be_bytes());
     });
     out.extend(ready_for_query());
     out
--- a/src/net/postgres/tests/mod.rs
+++ b/src/net/postgres/tests/mod.rs
@@ -6,6 +6,7 @@
 mod query;
 mod startup;
 
+use super::error_response::ErrorResponse;
 use super::message::{write_message, Message};
 use super::*;
 use crate::net::buffer::{MemoryBudget, RingBuffer, MAX_BUFFER_SIZE};
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -21,7 +21,7 @@
 #[case::minor_version(&packet(&[VERSION_3_0 + 2]), Startup::Session)]
 #[case::ssl(&packet(&[SSL]), Startup::Encryption)]
 #[case::gss(&packet(&[GSS]), Startup::Encryption)]
-#[case::cancel(&packet(&[CANCEL, 7, 9]), Startup::Cancel(CancelKey(7, 9)))]
+#[case::cancel(&packet(&[CANCEL, 7, 9]), Startup::Cancel(CancelKey { process_id: 7, secret: 9 }))]
 #[case::version_2(&packet(&[2 << 16]), Startup::Unknown)]
 #[case::version_4(&packet(&[4 << 16]), Startup::Unknown)]
 fn startup_packet_is_parsed(#[case] bytes: &[u8], #[case] expected: Startup) {
@@ -72,5 +72,5 @@
         b"K\0\0\0\x0c\0\0\0\x07\0\0\0\x09".to_vec(),
         b"Z\0\0\0\x05I".to_vec(),
     ];
-    assert_eq!(session_start(CancelKey(7, 9)), expected.concat());
+    assert_eq!(session_start(CancelKey { process_id: 7, secret: 9 }), expected.concat());
 }
