--- a/src/net/postgres/framing.rs
+++ b/src/net/postgres/framing.rs
@@ -29,6 +29,8 @@
 }
 
 /// Takes the next message of a client, or returns `None` until it is complete.
+///
+/// Fails if its length is impossible or exceeds [`MAX_CLIENT_BODY`].
 pub(crate) fn read_client_message(buffer: &mut RingBuffer) -> Result<Option<ClientMessage>, FrameError> {
     let Some(header) = peek_header(buffer)? else { return Ok(None) };
     if header.body_length > MAX_CLIENT_BODY {
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -14,11 +14,13 @@
 const COMMENT_START: &str = "/*";
 const COMMENT_END: &str = "*/";
 const QUOTE: char = '\'';
+/// The characters of a query that has no statement.
+const BLANKS: [char; 5] = [' ', '\t', '\r', '\n', ';'];
 
 /// A query of a client.
 #[derive(Debug)]
 pub(crate) enum ParsedQuery {
-    /// The query has no statement.
+    /// The query has no statement and no comment.
     Empty,
     /// The query has a comment with valid fields, and a statement.
     Query(Box<Query>),
@@ -44,7 +46,7 @@
     Comment(#[from] CommentError),
 }
 
-/// Parses the body of a client's query message.
+/// Parses the body of a client's Query message.
 pub(crate) fn parse_query(body: &[u8]) -> Result<ParsedQuery, QueryError> {
     let sql = parse_string(body).ok_or(QueryError::InvalidText)?;
     if is_blank(sql) {
@@ -55,8 +57,7 @@
     if is_blank(statement) {
         return Err(QueryError::NoStatement);
     }
-    let raw_fields = RawFields::parse(&sql[comment.clone()], comment.start)?;
-    let fields = raw_fields.check()?;
+    let fields = RawFields::parse(&sql[comment.clone()], comment.start)?.validate()?;
     Ok(ParsedQuery::Query(Box::new(build_query(sql, statement, fields))))
 }
 
@@ -80,17 +81,17 @@
         received_at: 0.0,
         session_token: fields.session_token,
         has_idempotency_key: fields.has_idempotency_key,
-        session: find_quoted_key(statement).map(String::from),
+        session: first_quoted_string(statement).map(String::from),
         statement: Statement { text: sql.into(), timeout: fields.timeout_position, memory: None },
     }
 }
 
 /// Returns whether `sql` contains no statement.
 fn is_blank(sql: &str) -> bool {
-    sql.trim_matches([' ', '\t', '\r', '\n', ';']).is_empty()
+    sql.trim_matches(BLANKS).is_empty()
 }
 
-/// Returns where the text inside the leading comment is.
+/// Returns where the text inside the leading comment is (bytes).
 fn find_leading_comment(sql: &str) -> Result<Range<usize>, QueryError> {
     let (before, _) = sql.split_once(COMMENT_START).ok_or(QueryError::NoComment)?;
     if !before.trim().is_empty() {
@@ -101,9 +102,9 @@
     Ok(start..end.ok_or(QueryError::UnterminatedComment)?)
 }
 
-/// Returns the first quoted string of the statement.
-fn find_quoted_key(statement: &str) -> Option<&str> {
+/// Returns the first quoted string of the statement, which names the session.
+fn first_quoted_string(statement: &str) -> Option<&str> {
     let (_, after_quote) = statement.split_once(QUOTE)?;
-    let (key, _) = after_quote.split_once(QUOTE)?;
-    Some(key)
+    let (quoted, _) = after_quote.split_once(QUOTE)?;
+    Some(quoted)
 }
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -5,6 +5,7 @@
 
 use thiserror::Error;
 
+/// The names of the fields.
 const ID: &str = "id";
 const CLASS: &str = "c";
 const TENANT: &str = "t";
@@ -14,7 +15,12 @@
 const CLIENT_RETRY: &str = "r";
 const SESSION_TOKEN: &str = "after";
 
-/// The most digits of a number: a float holds all such numbers exactly. A time in milliseconds has 13.
+/// Stands between the pairs.
+const PAIR_SEPARATOR: char = ',';
+/// Stands between the name and the value of a pair.
+const NAME_SEPARATOR: char = '=';
+
+/// The most digits of a number: an `f64` holds all such numbers exactly. A Unix time in milliseconds has 13.
 const MAX_DIGITS: usize = 15;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
@@ -47,31 +53,36 @@
     InvalidSessionToken,
 }
 
-/// The checked fields of a comment.
+/// The valid fields of a comment.
 #[derive(Debug, PartialEq)]
 pub(super) struct CommentFields {
+    /// The identifier that the client gave the request.
     pub id: String,
+    /// The name of its class.
     pub class: String,
-    /// Empty without a tenant.
+    /// The name of its tenant; empty without one.
     pub tenant: String,
+    /// The number of the group that holds its data.
     pub group: u32,
-    /// Seconds.
+    /// How long the client waits (seconds), above 0.
     pub timeout: f64,
-    /// Where in the query the digits of the timeout are.
+    /// Where in the query the digits of the timeout are (bytes).
     pub timeout_position: Range<usize>,
-    /// The commit that the query must see (Unix seconds).
+    /// The time of the commit that the query must see (Unix seconds).
     pub session_token: Option<f64>,
+    /// Whether the request carries an idempotency key. Its value is for the endpoint.
     pub has_idempotency_key: bool,
 }
 
-/// The text of a value, which is never empty, and its place in the query.
+/// The text of a value and its place in the query.
 struct RawValue<'a> {
     text: &'a str,
+    /// In bytes.
     start: usize,
 }
 
 impl<'a> RawValue<'a> {
-    /// Makes a value without the spaces around it; `start` is the place of `padded` in the query.
+    /// Returns the value without the spaces around it; `start` is the place of `padded` in the query (bytes).
     fn trimmed(padded: &'a str, start: usize) -> Self {
         let without_leading = padded.trim_start();
         let leading = padded.len() - without_leading.len();
@@ -98,19 +109,22 @@
 }
 
 impl<'a> RawFields<'a> {
-    /// Parses the text inside a comment; `start` is its place in the query.
+    /// Parses the text inside a comment; `start` is its place in the query (bytes).
+    ///
+    /// Fails if a pair has no equals sign, or if a known field is empty or there twice.
     pub fn parse(comment: &'a str, start: usize) -> Result<Self, CommentError> {
         let mut fields = RawFields::default();
         let mut pair_start = start;
-        for pair in comment.split(',') {
-            let (name, value) = pair.split_once('=').ok_or(CommentError::NotNameAndValue)?;
-            let value_start = pair_start + name.len() + 1;
+        for pair in comment.split(PAIR_SEPARATOR) {
+            let (name, value) = pair.split_once(NAME_SEPARATOR).ok_or(CommentError::NotNameAndValue)?;
+            let value_start = pair_start + name.len() + NAME_SEPARATOR.len_utf8();
             fields.set(name.trim(), RawValue::trimmed(value, value_start))?;
-            pair_start += pair.len() + 1;
+            pair_start += pair.len() + PAIR_SEPARATOR.len_utf8();
         }
         Ok(fields)
     }
 
+    /// Sets the field of this name, if there is one.
     fn set(&mut self, name: &str, value: RawValue<'a>) -> Result<(), CommentError> {
         let Some(field) = self.field_mut(name) else { return Ok(()) };
         if value.text.is_empty() || field.is_some() {
@@ -134,8 +148,8 @@
         }
     }
 
-    /// Checks the fields. The order of the checks decides which of several errors the client is told.
-    pub fn check(self) -> Result<CommentFields, CommentError> {
+    /// Validates the fields. The order of the checks decides which of several errors is reported.
+    pub fn validate(self) -> Result<CommentFields, CommentError> {
         let timeout = self.timeout.ok_or(CommentError::NoTimeout)?;
         let session_token = parse_session_token(self.session_token)?;
         let group = parse_group(self.group).ok_or(CommentError::NoGroup)?;
@@ -166,12 +180,13 @@
     value?.text.parse().ok()
 }
 
-/// Returns the timeout in seconds, unless it is 0.
+/// Returns the timeout in seconds, or `None` if it is 0 or not a number.
 fn parse_timeout(value: &RawValue) -> Option<f64> {
     let millis = parse_millis(value.text)?;
     (millis > 0).then(|| to_seconds(millis))
 }
 
+/// Returns a number of milliseconds, or `None` if the text is anything but digits or too long.
 fn parse_millis(text: &str) -> Option<u64> {
     let is_number = text.len() <= MAX_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
     if !is_number {
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -62,11 +62,13 @@
     Encryption,
     /// Cancels the query of the client that received this key.
     Cancel(CancelKey),
-    /// A protocol version that is not supported.
+    /// Starts a session of a protocol version that is not supported.
     Unknown,
 }
 
 /// Takes the first packet of a client, which has no kind, or returns `None` until it is complete.
+///
+/// Fails if its length is impossible for its request.
 pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<Startup>, FrameError> {
     let Some(length) = buffer.peek().map(u32::from_be_bytes) else { return Ok(None) };
     let length = length as usize;
--- a/src/net/postgres/tests/messages.rs
+++ b/src/net/postgres/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Tests of writing messages, and of parsing what database hosts send.
+//! Tests of writing messages, and of parsing what endpoints send.
 
 use rstest::rstest;
 
