--- a/src/cli.rs
+++ b/src/cli.rs
@@ -9,6 +9,9 @@
 use crate::net::ServeError;
 use crate::transient_error::retry;
 
+/// The name of the program in its output.
+const PROGRAM_NAME: &str = env!("CARGO_PKG_NAME");
+
 /// The exit code of a command that failed.
 const EXIT_FAILURE: u8 = 2;
 
@@ -67,7 +70,7 @@
     Serve(#[from] ServeError),
 }
 
-/// Runs the program as its command line says.
+/// Runs the program as its command line says. A failed command prints its error on standard error.
 pub fn run() -> ExitCode {
     let Args { command } = argh::from_env();
     let result = match command {
@@ -81,24 +84,26 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("pg-pooler: {error}");
+            eprintln!("{PROGRAM_NAME}: {error}");
             ExitCode::from(EXIT_FAILURE)
         }
     }
 }
 
+/// Serves clients until a graceful shutdown is complete. A file that cannot be read for a moment is read again.
 fn serve(path: Option<PathBuf>) -> Result<(), CommandError> {
     let path = config_path(path)?;
     let config = retry(|| Config::load(&path), ConfigError::is_transient)?;
-    let _log = crate::logging::init();
+    let _log_guard = crate::logging::init();
     crate::net::serve(&config, &path)?;
     Ok(())
 }
 
 fn print_version() {
-    println!("pg-pooler {}", env!("CARGO_PKG_VERSION"));
+    println!("{PROGRAM_NAME} {}", env!("CARGO_PKG_VERSION"));
 }
 
+/// Reads the configuration and prints its main values.
 fn check_config(path: Option<PathBuf>) -> Result<(), CommandError> {
     let config = Config::load(&config_path(path)?)?;
     println!(
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -11,7 +11,7 @@
 
 /// Why a configuration file cannot be used. The message names the file and the cause.
 #[derive(Debug, thiserror::Error)]
-pub enum ConfigError {
+pub(crate) enum ConfigError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
@@ -31,15 +31,15 @@
 }
 
 impl ConfigError {
-    /// Whether the file may be readable soon.
-    pub(crate) fn is_transient(&self) -> bool {
+    /// Whether reading the file again may succeed.
+    pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Read { source, .. } if is_transient(source))
     }
 }
 
 /// Why the text of a configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum ParseConfigError {
+pub(crate) enum ParseConfigError {
     /// The text is not acceptable as JSON.
     #[error(transparent)]
     Json(#[from] JsonError),
@@ -69,7 +69,7 @@
         /// The name of the list.
         list: &'static str,
     },
-    /// The time for which idle connections are kept is out of range.
+    /// The time after which endpoints close idle connections is out of range.
     #[error("'keepalive' must be a finite time above 0")]
     KeepaliveOutOfRange,
     /// The settings object cannot be decoded.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the pooler.
+//! The configuration file of the pooler: its JSON form, its defaults and its errors.
 
 mod error;
 mod names;
@@ -17,32 +17,36 @@
 
 pub use crate::json::lenient::NotANumber;
 pub use crate::json::JsonError;
-pub use error::{ConfigError, ParseConfigError};
+pub(crate) use error::{ConfigError, ParseConfigError};
 use names::RawNames;
 use settings::RawSettings;
 pub use settings::{decode_settings, DecodeSettingsError};
 
 /// The name of a pooler whose configuration has none.
 const DEFAULT_NAME: &str = "pg-pooler";
-const DEFAULT_SOCKETS: f64 = 1024.0;
-const DEFAULT_MEMORY_MB: f64 = 192.0;
+/// The default of `limits.sockets` (file descriptors).
+const DEFAULT_MAX_DESCRIPTORS: f64 = 1024.0;
+/// The default of `limits.memory_mb` (megabytes).
+const DEFAULT_MAX_MEMORY_MB: f64 = 192.0;
 const BYTES_PER_MB: f64 = 1e6;
+/// The seed is a hexadecimal number.
+const SEED_RADIX: u32 = 16;
 
 /// The configuration of one pooler.
 #[derive(Clone, Debug)]
-pub struct Config {
+pub(crate) struct Config {
     /// The pooler's name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the pooler accepts clients.
     pub listen: SocketAddr,
-    /// Where service discovery is.
+    /// The address of service discovery.
     pub discovery: SocketAddr,
     /// Seed for random numbers; new with each start.
     pub seed: u64,
-    /// Most file descriptors that the process may hold.
-    pub sockets: usize,
+    /// Most file descriptors that the process may have open.
+    pub max_descriptors: usize,
     /// Most memory that the process may take (bytes).
-    pub memory: usize,
+    pub max_memory: usize,
     /// The settings of the policy.
     pub settings: Settings,
     /// Names of the classes, in the order of the settings.
@@ -51,10 +55,10 @@
     pub tenants: Vec<String>,
     /// Names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// How long a database host keeps an idle connection (seconds).
+    /// After what time an endpoint closes an idle connection (seconds).
     pub keepalive: f64,
-    /// The cached list of database hosts.
-    pub(crate) known: EndpointList,
+    /// The endpoint list as the file caches it, for the time until discovery answers.
+    pub cached_list: EndpointList,
 }
 
 /// The configuration file in its JSON form.
@@ -73,7 +77,7 @@
     limits: RawProcessLimits,
     /// Decoded twice: as settings and as lists of names.
     settings: Value,
-    /// A cached list that cannot be read counts as empty: discovery has a new one.
+    /// The cached list. One that cannot be read counts as empty: discovery has a new one.
     #[serde(deserialize_with = "lenient::value")]
     known: EndpointList,
 }
@@ -88,6 +92,8 @@
 
 impl Config {
     /// Reads a configuration file.
+    ///
+    /// Fails if the file cannot be read, or as [`Config::parse`] does.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_path_buf(), source })?;
@@ -95,6 +101,8 @@
     }
 
     /// Decodes the text of a configuration file.
+    ///
+    /// Fails if it is not JSON, lacks a required field, or has a field of the wrong type or range.
     pub fn parse(text: &str) -> Result<Config, ParseConfigError> {
         lenient::or_default::<RawConfig>(json::parse(text)?).decode()
     }
@@ -112,17 +120,29 @@
             listen: decode_address("listen", self.listen)?,
             discovery: decode_address("discovery", self.discovery)?,
             seed: decode_seed(seed)?,
-            sockets: self.limits.sockets.or("sockets", DEFAULT_SOCKETS)? as usize,
-            memory: (self.limits.memory_mb.or("memory_mb", DEFAULT_MEMORY_MB)? * BYTES_PER_MB) as usize,
+            max_descriptors: self.limits.max_descriptors()?,
+            max_memory: self.limits.max_memory()?,
             settings,
             classes: names.classes()?,
             tenants: names.tenants()?,
             zones: names.zones()?,
-            known: self.known,
+            cached_list: self.known,
         })
     }
 }
 
+impl RawProcessLimits {
+    /// Most file descriptors that the process may have open.
+    fn max_descriptors(&self) -> Result<usize, NotANumber> {
+        Ok(self.sockets.or("sockets", DEFAULT_MAX_DESCRIPTORS)? as usize)
+    }
+
+    /// Most memory that the process may take (bytes).
+    fn max_memory(&self) -> Result<usize, NotANumber> {
+        Ok((self.memory_mb.or("memory_mb", DEFAULT_MAX_MEMORY_MB)? * BYTES_PER_MB) as usize)
+    }
+}
+
 fn require_text(field: &'static str, text: Option<String>) -> Result<String, ParseConfigError> {
     text.ok_or(ParseConfigError::NotText { field })
 }
@@ -133,14 +153,15 @@
 }
 
 fn decode_seed(text: String) -> Result<u64, ParseConfigError> {
-    u64::from_str_radix(&text, 16).map_err(|_| ParseConfigError::SeedNotHexadecimal(text))
+    u64::from_str_radix(&text, SEED_RADIX).map_err(|_| ParseConfigError::SeedNotHexadecimal(text))
 }
 
+/// Decodes the settings, checks their ranges and sets what differs from the simulator.
 fn decode_valid_settings(raw: &RawSettings) -> Result<Settings, ParseConfigError> {
     let mut settings = raw.decode()?;
-    // Discovery sends nothing unasked over a network, whichever mode the settings name.
+    // A real discovery service sends nothing that is not requested, whichever mode the settings name.
     settings.watch_endpoints = true;
-    // In the simulator all share one clock. This machine's may have been stepped.
+    // Only the simulator has one clock for all. The clock of a real machine may be wrong.
     settings.shares_host_clock = false;
     crate::settings::validate(&settings)?;
     Ok(settings)
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -32,13 +32,13 @@
 fn the_smallest_configuration_has_the_defaults() {
     let config = parse(&smallest_config()).unwrap();
     assert_eq!((config.name.as_str(), config.seed), ("pg-pooler", 0x7f));
-    assert_eq!((config.sockets, config.memory, config.keepalive), (1024, 192_000_000, 15.0));
+    assert_eq!((config.max_descriptors, config.max_memory, config.keepalive), (1024, 192_000_000, 15.0));
     assert_eq!(
         (config.classes.as_slice(), config.tenants.len(), config.zones.len()),
         (&["a".into()][..], 0, 0)
     );
     assert!(config.settings.watch_endpoints && !config.settings.shares_host_clock);
-    assert!(config.known.endpoints.is_empty());
+    assert!(config.cached_list.endpoints.is_empty());
 }
 
 #[rstest]
@@ -73,8 +73,8 @@
 #[case::no_index(json!({"endpoints": []}))]
 #[case::no_endpoints(json!({"index": 41}))]
 fn a_cached_list_that_cannot_be_read_counts_as_empty(#[case] known: Value) {
-    let known = parse(&config_with("/known", known)).unwrap().known;
-    assert_eq!((known.index, known.snapshot, known.complete, known.endpoints.len()), (0, false, false, 0));
+    let list = parse(&config_with("/known", known)).unwrap().cached_list;
+    assert_eq!((list.index, list.snapshot, list.complete, list.endpoints.len()), (0, false, false, 0));
 }
 
 #[test]
@@ -82,9 +82,9 @@
     let entry =
         json!({"name": "s-1", "address": "10.0.0.1:5", "zone": "here", "group": 2, "status": "SERVING"});
     let known = json!({"index": 41, "snapshot": true, "endpoints": [entry, {"name": "s-2"}]});
-    let known = parse(&config_with("/known", known)).unwrap().known;
-    assert_eq!((known.index, known.snapshot, known.complete, known.endpoints.len()), (41, true, false, 1));
-    assert_eq!((&*known.endpoints[0].name, known.endpoints[0].status), ("s-1", EndpointStatus::Serving));
+    let list = parse(&config_with("/known", known)).unwrap().cached_list;
+    assert_eq!((list.index, list.snapshot, list.complete, list.endpoints.len()), (41, true, false, 1));
+    assert_eq!((&*list.endpoints[0].name, list.endpoints[0].status), ("s-1", EndpointStatus::Serving));
 }
 
 #[rstest]
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -101,9 +101,9 @@
         let settings = &config.settings;
         let policy = Policy::new(settings.clone(), config.seed)?;
         let signals = register_signals(context)?;
-        let limits = ConnectionLimits::new(config.sockets)?;
+        let limits = ConnectionLimits::new(config.max_descriptors)?;
         // Half the memory is for buffers, statements and values, whichever of them needs it.
-        let budget = MemoryBudget::new(config.memory / 2);
+        let budget = MemoryBudget::new(config.max_memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
         let longest_deadline = settings.longest_deadline();
@@ -113,7 +113,7 @@
             policy,
             frontend,
             backend: Backend::new(limits.hosts, budget.clone(), config.keepalive, settings.connect_timeout),
-            discovery: Discovery::new(config.discovery, config.known.index, budget),
+            discovery: Discovery::new(config.discovery, config.cached_list.index, budget),
             signals,
             requests: RequestTable::default(),
             queries: QueryTranslator::new(config),
@@ -124,7 +124,7 @@
             reload: Reload::new(path),
             shutdown: ShutdownState::Running,
         };
-        let cached_endpoints = config.known.endpoints.clone();
+        let cached_endpoints = config.cached_list.endpoints.clone();
         context.events.push_back(Event::EndpointsUpdated(UpdateKind::Cached, cached_endpoints));
         pooler.process_events(context);
         Ok(pooler)
