--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -7,6 +7,11 @@
 /// A counter's name on the printed line, and its value.
 type NamedCount = (&'static str, u64);
 
+/// Stands before the names of the outcomes of health checks.
+const HEALTH_CHECK_PREFIX: &str = "health_check_";
+/// Stands before all other names.
+const NO_PREFIX: &str = "";
+
 /// How often each outcome has occurred.
 #[derive(Default)]
 pub(crate) struct OutcomeCounts {
@@ -63,15 +68,14 @@
 /// What has happened since the start of the process. Counters never decrease.
 ///
 /// They are printed on one line as `name=value`, separated by spaces. Operators parse that line: its names
-/// and their order are an interface.
+/// and their order are an interface. An outcome of health checks is printed only once it has occurred.
 #[derive(Default)]
 pub(crate) struct Counters {
     /// Client connections that were accepted.
     pub clients_accepted: u64,
     /// Valid queries that were passed to the policy.
     pub requests_received: u64,
-    /// Messages and queries of clients that were invalid, including queries that a database host rejected as
-    /// invalid.
+    /// Messages and queries of clients that were invalid, including queries that an endpoint rejected as invalid.
     pub malformed: u64,
     /// Clients whose connection was closed because they did not send a first query, complete a message or
     /// read their answers in time.
@@ -93,13 +97,13 @@
     pub attempts_sent: u64,
     /// Health checks that were started.
     pub health_checks_sent: u64,
-    /// Answers of database hosts that were not valid.
+    /// Answers of endpoints that were not valid.
     pub malformed_answers: u64,
-    /// Messages of database hosts that followed a complete answer or belonged to no query.
+    /// Messages of endpoints that followed a complete answer or belonged to no query.
     pub unsolicited_messages: u64,
     /// Load reports that could not be read.
     pub unreadable_reports: u64,
-    /// Connections that were opened to database hosts.
+    /// Connections that were opened to endpoints.
     pub backend_connects: u64,
     /// How attempts ended.
     pub attempt_outcomes: OutcomeCounts,
@@ -116,15 +120,15 @@
 }
 
 impl fmt::Display for Counters {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "clients_accepted={}", self.clients_accepted)?;
-        write_counts(f, "", &self.client_counts())?;
-        write_counts(f, "", &self.attempt_outcomes.named())?;
-        write_counts(f, "", &[("health_checks_sent", self.health_checks_sent)])?;
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "clients_accepted={}", self.clients_accepted)?;
+        write_counts(formatter, NO_PREFIX, &self.client_counts())?;
+        write_counts(formatter, NO_PREFIX, &self.attempt_outcomes.named())?;
+        write_counts(formatter, NO_PREFIX, &[("health_checks_sent", self.health_checks_sent)])?;
         let mut health_check_outcomes = self.health_check_outcomes.named().to_vec();
         health_check_outcomes.retain(|(_, count)| *count > 0);
-        write_counts(f, "health_check_", &health_check_outcomes)?;
-        write_counts(f, "", &self.fault_and_control_counts())
+        write_counts(formatter, HEALTH_CHECK_PREFIX, &health_check_outcomes)?;
+        write_counts(formatter, NO_PREFIX, &self.fault_and_control_counts())
     }
 }
 
@@ -161,8 +165,8 @@
 }
 
 /// Writes ` name=value` for each count, with `prefix` before each name.
-fn write_counts(f: &mut fmt::Formatter<'_>, prefix: &str, counts: &[NamedCount]) -> fmt::Result {
-    counts.iter().try_for_each(|(name, count)| write!(f, " {prefix}{name}={count}"))
+fn write_counts(formatter: &mut fmt::Formatter<'_>, prefix: &str, counts: &[NamedCount]) -> fmt::Result {
+    counts.iter().try_for_each(|(name, count)| write!(formatter, " {prefix}{name}={count}"))
 }
 
 #[cfg(test)]
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,8 @@
 //! The operator's log: one line per event on standard error.
 //!
 //! A thread of its own writes the lines, so that a reader which falls behind never stops the program. Lines
-//! for which the queue of that thread has no room are lost; a line that counts them follows once there is
-//! room again.
+//! that exceed the capacity of its queue are lost; a line that counts them follows once the queue accepts
+//! lines again.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,10 +15,10 @@
 use tracing_subscriber::fmt::time::{FormatTime, SystemTime};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Most lines that wait to be written. Together they take less than a megabyte.
+/// The capacity of the queue (lines). Together they take less than a megabyte.
 const MAX_QUEUED_LINES: usize = 1000;
 
-/// How long the program waits at its end for the queued lines to be written.
+/// How long the program waits for the queued lines to be written before it ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Writes the queued lines when it is dropped, for [`FLUSH_TIMEOUT`] at most.
@@ -30,24 +30,24 @@
 impl Drop for LogGuard {
     fn drop(&mut self) {
         let worker = self.worker.take();
-        let (flushed, is_flushed) = mpsc::channel();
+        let (flush_done, flush_result) = mpsc::channel();
         // If the queue is full, the worker's guard prints that, which may block for ever.
         let flush = move || {
             drop(worker);
-            let _ = flushed.send(());
+            let _ = flush_done.send(());
         };
         if thread::Builder::new().spawn(flush).is_ok() {
-            let _ = is_flushed.recv_timeout(FLUSH_TIMEOUT);
+            let _ = flush_result.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-/// Has all log events written to standard error: time, level, message and fields, without colour.
+/// Starts to write all log events to standard error: time, level, message and fields, without colour.
 ///
-/// An event that cannot be written is dropped. A closed standard error is no reason to stop serving.
+/// An event that cannot be written is lost: a closed standard error is no reason to stop serving.
 pub(crate) fn init() -> LogGuard {
     let (writer, worker) = LogWriter::new(io::stderr(), MAX_QUEUED_LINES);
-    // Fails only where a subscriber is installed already. That one is kept.
+    // Fails only where a subscriber is installed already, which then stays.
     let _ = tracing_subscriber::fmt()
         .with_writer(writer)
         .with_ansi(false)
@@ -61,6 +61,7 @@
 #[derive(Clone)]
 struct LogWriter {
     queue: NonBlocking,
+    /// Counts the lost lines.
     lost: ErrorCounter,
     /// How many of the lost lines have been reported, or were reports themselves.
     reported: Arc<AtomicUsize>,
@@ -74,10 +75,10 @@
         (LogWriter { queue, lost, reported: Arc::default() }, worker)
     }
 
-    /// Queues a line. Returns whether there was room for it.
+    /// Queues a line. Returns whether the queue had capacity for it.
     fn queue_line(&mut self, line: &[u8]) -> bool {
         let lost_before = self.lost.dropped_lines();
-        // Never fails: a line without room is counted as lost.
+        // Never fails: a line that exceeds the capacity is counted as lost.
         let _ = self.queue.write_all(line);
         self.lost.dropped_lines() == lost_before
     }
@@ -90,7 +91,7 @@
             return;
         }
         let is_queued = self.queue_line(lost_lines_warning(unreported).as_bytes());
-        // A report without room was counted as one more lost line, which needs no report.
+        // A report that was lost was counted as one more lost line, which needs no report.
         let newly_reported = if is_queued { unreported } else { 1 };
         self.reported.fetch_add(newly_reported, Ordering::Relaxed);
     }
@@ -116,7 +117,7 @@
     }
 }
 
-/// A line in the form of the other events.
+/// A line in the form of the other events, with the number of lost lines.
 fn lost_lines_warning(count: usize) -> String {
     let mut line = String::new();
     // The time is left out if it cannot be formatted.
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -6,7 +6,7 @@
 
 /// A reader of the log that takes one line for each permit.
 struct SlowOutput {
-    /// Told of each line before it is taken.
+    /// Gets a message before each line is taken.
     offered: Sender<()>,
     permits: Receiver<()>,
     lines: Sender<String>,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn lines_without_room_are_lost_and_counted_once_there_is_room_again() {
+fn lines_that_exceed_the_queue_are_lost_and_counted_once_it_accepts_lines_again() {
     let mut log = SlowLog::new();
     log.fill();
     (0..15).for_each(|_| log.write("lost"));
--- a/src/transient_error/tests.rs
+++ b/src/transient_error/tests.rs
@@ -12,12 +12,12 @@
 #[case::address_in_use(98, false)]
 #[case::no_such_file(2, false)]
 #[case::access_denied(13, false)]
-fn only_shortages_pass_by_themselves(#[case] number: i32, #[case] expected: bool) {
+fn only_shortages_are_transient(#[case] number: i32, #[case] expected: bool) {
     assert_eq!(is_transient(&io::Error::from_raw_os_error(number)), expected);
 }
 
 #[test]
-fn a_call_is_made_again_until_it_succeeds_or_fails_for_good() {
+fn a_call_is_retried_until_it_succeeds_or_its_error_is_not_transient() {
     let mut errors = vec![2, ENFILE, EMFILE];
     let mut call = || errors.pop().map_or(Ok(()), |number| Err(io::Error::from_raw_os_error(number)));
     assert_eq!(retry(&mut call, is_transient).unwrap_err().raw_os_error(), Some(2));
