--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -93,7 +93,7 @@
                 context.events.push_back(Event::CancelRequested(key));
                 Err(ConnectionClosed)
             }
-            Startup::Unknown => {
+            Startup::UnsupportedVersion => {
                 self.send_fatal_error(id, sqlstate::FEATURE_NOT_SUPPORTED, "unknown protocol", context)
             }
         }
--- a/src/net/postgres/error_response.rs
+++ b/src/net/postgres/error_response.rs
@@ -2,11 +2,10 @@
 
 use super::message::write_message;
 use super::message_kind::BackendMessageKind;
-use super::strings::push_string;
+use super::strings::{push_string, TERMINATOR};
 
-/// The severity, which a server may translate.
+/// The kinds of fields. The severity is there twice, as an endpoint may translate the first.
 const SEVERITY: u8 = b'S';
-/// The severity, never translated.
 const SEVERITY_UNTRANSLATED: u8 = b'V';
 const SQLSTATE: u8 = b'C';
 const MESSAGE: u8 = b'M';
@@ -61,7 +60,7 @@
         if let Some(detail) = detail {
             push_field(out, DETAIL, detail);
         }
-        out.push(0);
+        out.push(TERMINATOR);
     });
     out
 }
@@ -75,7 +74,7 @@
 pub(crate) fn parse_error_response(body: &[u8]) -> ErrorResponse {
     let mut sqlstate = String::new();
     let mut severity = Severity::Error;
-    for field in body.split(|byte| *byte == 0) {
+    for field in body.split(|byte| *byte == TERMINATOR) {
         let Some((kind, value)) = field.split_first() else { continue };
         match *kind {
             SQLSTATE => sqlstate = String::from_utf8_lossy(value).into_owned(),
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -8,7 +8,7 @@
 use super::message::{write_message, HEADER_SIZE};
 use super::message_kind::ClientMessageKind;
 use super::query_comment::{CommentError, CommentFields, RawFields};
-use super::strings::parse_string;
+use super::strings::{parse_string, push_string, TERMINATOR};
 use crate::net::{Query, Statement};
 
 const COMMENT_START: &str = "/*";
@@ -63,11 +63,8 @@
 
 /// Returns a Query message for an endpoint.
 pub(crate) fn query_message(sql: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(HEADER_SIZE + sql.len() + 1);
-    write_message(&mut out, ClientMessageKind::Query, |out| {
-        out.extend(sql);
-        out.push(0);
-    });
+    let mut out = Vec::with_capacity(HEADER_SIZE + sql.len() + [TERMINATOR].len());
+    write_message(&mut out, ClientMessageKind::Query, |out| push_string(out, sql));
     out
 }
 
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -4,7 +4,7 @@
 use super::framing::FrameError;
 use super::message::{write_message, write_with_length};
 use super::message_kind::BackendMessageKind;
-use super::strings::push_string;
+use super::strings::{push_string, TERMINATOR};
 use crate::net::buffer::RingBuffer;
 
 /// The words of a startup packet (bytes). They are its length, its request code and those of a cancel key.
@@ -26,6 +26,7 @@
 const MAJOR_VERSION: u32 = 3;
 const PROTOCOL_VERSION: u32 = MAJOR_VERSION << MINOR_VERSION_BITS;
 
+/// The request codes of packets that start no session.
 const CANCEL_REQUEST: u32 = 80_877_102;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
@@ -63,7 +64,7 @@
     /// Cancels the query of the client that received this key.
     Cancel(CancelKey),
     /// Starts a session of a protocol version that is not supported.
-    Unknown,
+    UnsupportedVersion,
 }
 
 /// Takes the first packet of a client, which has no kind, or returns `None` until it is complete.
@@ -90,7 +91,7 @@
         SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(Startup::Encryption),
         CANCEL_REQUEST => parse_cancel_key(packet).map(Startup::Cancel).ok_or(FrameError::Malformed),
         version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => Ok(Startup::Session),
-        _ => Ok(Startup::Unknown),
+        _ => Ok(Startup::UnsupportedVersion),
     }
 }
 
@@ -112,10 +113,10 @@
     let mut out = Vec::new();
     write_with_length(&mut out, |out| {
         out.extend(PROTOCOL_VERSION.to_be_bytes());
-        for text in ["user", user, "database", database] {
-            push_string(out, text);
+        for name_or_value in ["user", user, "database", database] {
+            push_string(out, name_or_value);
         }
-        out.push(0);
+        out.push(TERMINATOR);
     });
     out
 }
--- a/src/net/postgres/strings.rs
+++ b/src/net/postgres/strings.rs
@@ -1,14 +1,18 @@
 //! Strings of the protocol: text that ends with a zero byte.
 
-/// Parses bytes that are exactly one string, and returns it without its final zero.
+/// The byte that ends a string, and a list of strings.
+pub(super) const TERMINATOR: u8 = 0;
+
+/// Parses bytes that are exactly one string, and returns it without its terminator.
+///
+/// Returns `None` if the terminator is missing or not the only one, or if the text is not UTF-8.
 pub(super) fn parse_string(bytes: &[u8]) -> Option<&str> {
-    let (last, rest) = bytes.split_last()?;
-    let text = std::str::from_utf8(rest).ok()?;
-    (*last == 0 && !text.contains('\0')).then_some(text)
+    let text = std::str::from_utf8(bytes.strip_suffix(&[TERMINATOR])?).ok()?;
+    (!text.bytes().any(|byte| byte == TERMINATOR)).then_some(text)
 }
 
-/// Appends `text` and a zero.
-pub(super) fn push_string(out: &mut Vec<u8>, text: &str) {
-    out.extend(text.as_bytes());
-    out.push(0);
+/// Appends `text` and its terminator.
+pub(super) fn push_string(out: &mut Vec<u8>, text: impl AsRef<[u8]>) {
+    out.extend(text.as_ref());
+    out.push(TERMINATOR);
 }
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -22,8 +22,8 @@
 #[case::ssl(&packet(&[SSL]), Startup::Encryption)]
 #[case::gss(&packet(&[GSS]), Startup::Encryption)]
 #[case::cancel(&packet(&[CANCEL, 7, 9]), Startup::Cancel(CancelKey { process_id: 7, secret: 9 }))]
-#[case::version_2(&packet(&[2 << 16]), Startup::Unknown)]
-#[case::version_4(&packet(&[4 << 16]), Startup::Unknown)]
+#[case::version_2(&packet(&[2 << 16]), Startup::UnsupportedVersion)]
+#[case::version_4(&packet(&[4 << 16]), Startup::UnsupportedVersion)]
 fn startup_packet_is_parsed(#[case] bytes: &[u8], #[case] expected: Startup) {
     let mut buffer = buffer_with(bytes);
     assert_eq!(read_startup(&mut buffer), Ok(Some(expected)));
