--- a/src/net/postgres/tests/mod.rs
+++ b/src/net/postgres/tests/mod.rs
@@ -1,12 +1,14 @@
 //! Tests of the parsing and writing of PostgreSQL messages.
 
+mod backend_messages;
+mod error_response;
 mod framing;
+mod message;
 mod message_kind;
-mod messages;
 mod query;
+mod sqlstate;
 mod startup;
 
-use super::error_response::ErrorResponse;
 use super::message::{write_message, Message};
 use super::*;
 use crate::net::buffer::{MemoryBudget, RingBuffer, MAX_BUFFER_SIZE};
--- a/src/net/postgres/tests/query.rs
+++ b/src/net/postgres/tests/query.rs
@@ -1,4 +1,4 @@
-//! Tests of parsing a client's query and its comment.
+//! Tests of Query messages and of the comment of a client's query.
 
 use rstest::rstest;
 
@@ -169,6 +169,11 @@
     assert_eq!(error.into().to_string(), expected);
 }
 
+#[test]
+fn query_message_ends_with_a_zero() {
+    assert_eq!(query_message(b"SELECT 1"), b"Q\0\0\0\x0dSELECT 1\0");
+}
+
 #[test]
 fn random_bytes_never_panic() {
     let mut rng = fastrand::Rng::with_seed(SEED);
