--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -18,8 +18,6 @@
 /// The user and the database that the startup message names.
 const USER: &str = "app";
 const DATABASE: &str = "shop";
-/// The body of an Authentication message that asks for nothing more.
-const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
 /// How long a query may wait in the output buffer. It states how much time its client has left, which may be at
 /// most 0.15 s too much when the endpoint receives it.
@@ -306,7 +304,9 @@
     fn process_startup_message(&mut self, message: &BackendMessage, now: Instant) -> Progress {
         match message.kind {
             BackendMessageKind::ParameterStatus => Progress::Pending,
-            BackendMessageKind::Authentication if message.body == AUTHENTICATION_OK => Progress::Pending,
+            BackendMessageKind::Authentication if message.body == postgres::AUTHENTICATION_OK => {
+                Progress::Pending
+            }
             BackendMessageKind::ErrorResponse => Progress::Failed(startup_error_outcome(&message.body)),
             BackendMessageKind::ReadyForQuery => match self.take_exchange() {
                 Some((exchange, _)) => self.send_query(exchange, now),
@@ -337,8 +337,7 @@
 
 /// The outcome of an exchange whose session the endpoint has refused to start.
 fn startup_error_outcome(body: &[u8]) -> Outcome {
-    let (code, _) = postgres::parse_error_response(body);
-    if code == sqlstate::TOO_MANY_CONNECTIONS {
+    if postgres::parse_error_response(body).sqlstate == sqlstate::TOO_MANY_CONNECTIONS {
         Outcome::Overloaded
     } else {
         Outcome::ConnectFailed
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -5,7 +5,7 @@
 use crate::interface::{EndpointId, LoadReport, Outcome, Role};
 use crate::load_report;
 use crate::net::buffer::MemoryReservation;
-use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
+use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind, ParameterStatus, Severity};
 use crate::net::{Completion, Task};
 use crate::time::LogPosition;
 
@@ -146,12 +146,16 @@
 
     fn add_parameter(&mut self, body: &[u8]) {
         match postgres::parse_parameter_status(body) {
-            Some((LOG_POSITION_PARAMETER, value)) => {
+            Some(ParameterStatus { name: LOG_POSITION_PARAMETER, value }) => {
                 let millis = value.parse::<f64>().ok();
                 self.log_position = millis.map(|millis| LogPosition::from_secs(millis / MILLIS_PER_SECOND));
             }
-            Some((ROLE_PARAMETER, PRIMARY_ROLE)) => self.role = Some(Role::Primary),
-            Some((ROLE_PARAMETER, REPLICA_ROLE)) => self.role = Some(Role::Replica),
+            Some(ParameterStatus { name: ROLE_PARAMETER, value: PRIMARY_ROLE }) => {
+                self.role = Some(Role::Primary)
+            }
+            Some(ParameterStatus { name: ROLE_PARAMETER, value: REPLICA_ROLE }) => {
+                self.role = Some(Role::Replica)
+            }
             _ => {}
         }
     }
@@ -188,12 +192,11 @@
     }
 
     fn add_error(&mut self, body: &[u8]) -> ReplyStatus {
-        let (code, fatal) = postgres::parse_error_response(body);
-        self.error_code = Some(code);
-        if fatal {
-            ReplyStatus::FatalError
-        } else {
-            ReplyStatus::Incomplete
+        let error = postgres::parse_error_response(body);
+        self.error_code = Some(error.sqlstate);
+        match error.severity {
+            Severity::Fatal => ReplyStatus::FatalError,
+            Severity::Error => ReplyStatus::Incomplete,
         }
     }
 }
--- a/src/net/frontend/output.rs
+++ b/src/net/frontend/output.rs
@@ -5,18 +5,11 @@
 
 use super::error::ConnectionClosed;
 use crate::net::buffer::{MemoryBudget, RingBuffer};
-use crate::net::postgres::{self, sqlstate, CancelKey};
+use crate::net::postgres::{self, sqlstate, CancelKey, Severity};
 use crate::net::Response;
 
 const NANOS_PER_MILLISECOND: u128 = 1_000_000;
 
-/// Severity of an error after which the client may go on.
-const SEVERITY_ERROR: &str = "ERROR";
-/// Severity of an error after which the connection is closed.
-const SEVERITY_FATAL: &str = "FATAL";
-/// The answer to a request for encryption that the pooler declines.
-const ENCRYPTION_DECLINED: &[u8] = b"N";
-
 /// What came of writing the output to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FlushStatus {
@@ -56,7 +49,7 @@
 
     /// Declines a request for encryption: the client may go on without.
     pub(super) fn push_encryption_declined(&mut self) -> Result<(), ConnectionClosed> {
-        self.push(ENCRYPTION_DECLINED)
+        self.push(postgres::ENCRYPTION_NOT_SUPPORTED)
     }
 
     /// Confirms the start of a session.
@@ -113,12 +106,12 @@
         code: &str,
         message: &str,
     ) -> Result<(), ConnectionClosed> {
-        self.push(&postgres::error_response(SEVERITY_ERROR, code, message, None))
+        self.push(&postgres::error_response(Severity::Error, code, message, None))
     }
 
     /// Reports the error for which the connection is closed.
     pub(super) fn push_fatal_error(&mut self, code: &str, message: &str) -> Result<(), ConnectionClosed> {
-        self.push(&postgres::error_response(SEVERITY_FATAL, code, message, None))
+        self.push(&postgres::error_response(Severity::Fatal, code, message, None))
     }
 
     fn push_value(&mut self, mut value: Vec<u8>) -> Result<(), ConnectionClosed> {
@@ -136,7 +129,7 @@
         message: &str,
         detail: Option<&str>,
     ) -> Result<(), ConnectionClosed> {
-        let error = postgres::error_response(SEVERITY_ERROR, code, message, detail);
+        let error = postgres::error_response(Severity::Error, code, message, detail);
         self.push(&[error, postgres::ready_for_query()].concat())
     }
 
--- a/src/net/frontend/output/tests.rs
+++ b/src/net/frontend/output/tests.rs
@@ -66,7 +66,7 @@
     let mut output = output();
     output.push_response(Response::Rejected { retry_after }).unwrap();
     let code = sqlstate::TOO_MANY_CONNECTIONS;
-    let error = postgres::error_response("ERROR", code, "refused: try again later", detail);
+    let error = postgres::error_response(Severity::Error, code, "refused: try again later", detail);
     assert_eq!(write_all(&mut output), [error, postgres::ready_for_query()].concat());
 }
 
@@ -75,6 +75,7 @@
 fn a_value_without_memory_is_answered_with_an_error() {
     let mut output = output();
     output.push_response(Response::Value(vec![0; MEMORY])).unwrap();
-    let error = postgres::error_response("ERROR", sqlstate::SYSTEM_ERROR, "no memory for the value", None);
+    let error =
+        postgres::error_response(Severity::Error, sqlstate::SYSTEM_ERROR, "no memory for the value", None);
     assert_eq!(write_all(&mut output), [error, postgres::ready_for_query()].concat());
 }
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -76,7 +76,7 @@
                 context.events.push_back(Event::CancelRequested(key));
                 Err(ConnectionClosed)
             }
-            Startup::Unknown => {
+            Startup::UnsupportedVersion => {
                 let code = sqlstate::FEATURE_NOT_SUPPORTED;
                 self.close_with_error(code, "unknown protocol", &mut context.counters)
             }
--- a/src/net/postgres/tests/mod.rs
+++ b/src/net/postgres/tests/mod.rs
@@ -1,9 +1,12 @@
 //! Tests of the parsing and writing of PostgreSQL messages.
 
+mod backend_messages;
+mod error_response;
 mod framing;
+mod message;
 mod message_kind;
-mod messages;
 mod query;
+mod sqlstate;
 mod startup;
 
 use super::message::{write_message, Message};
