--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -13,7 +13,8 @@
         id: RequestId,
         /// Where to send it.
         endpoint: EndpointId,
-        /// How long the client still waits for the answer.
+        /// The attempt must be answered within this time: before the client's deadline, and before repeats
+        /// are no longer dropped by their idempotency key.
         timeout: Span,
     },
     /// Cancel an attempt.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -81,8 +81,8 @@
         /// Its request.
         id: RequestId,
     },
-    /// The program ends soon and cannot wait for the request any longer: it needs its final answer now.
-    Expired {
+    /// The process may be killed before the request is answered: it needs its final answer now.
+    ShutdownImminent {
         /// The request.
         id: RequestId,
     },
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -82,7 +82,7 @@
     WatchFailed,
 }
 
-/// What an endpoint reported about itself some time ago.
+/// What an endpoint reported about itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
     /// The log position that it had applied.
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -93,7 +93,7 @@
     fn end_blocking_requests(&mut self, context: &mut Context) {
         for client in self.frontend.clients_with_waiting_input() {
             if let Some(id) = self.requests.request_of(client) {
-                self.notify_policy(interface::Event::Expired { id }, context);
+                self.notify_policy(interface::Event::ShutdownImminent { id }, context);
             }
         }
         self.shutdown.schedule_next_search(&mut context.reactor);
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -27,8 +27,8 @@
 const INITIAL_LATENCY_SHARE: f64 = 0.25;
 /// Weight of a new sample in the latency of a class, which so covers about ten answers.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
-/// Shortest latency that lowers a priority: below it, classes count as equally quick (seconds).
-const MIN_PRIORITY_LATENCY: f64 = 1e-3;
+/// Shortest latency that lowers a priority: below it, classes count as equally quick.
+const MIN_PRIORITY_LATENCY: Span = Span::from_secs(1e-3);
 /// Lowest priority that others are compared with, in case every class has none.
 const MIN_HIGHEST_PRIORITY: f64 = 1e-9;
 
@@ -70,7 +70,7 @@
     /// Charges a request to the quota of its tenant.
     pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaUse {
         let quota = self.tenant_quotas.get_mut(tenant).and_then(Option::as_mut);
-        if quota.is_none_or(|quota| quota.refill(now).withdraw()) {
+        if quota.is_none_or(|quota| quota.refill(now).withdraw_up_to_one()) {
             QuotaUse::Within
         } else {
             QuotaUse::Beyond
@@ -93,19 +93,20 @@
         cluster.endpoint(to).load().predict_latency(class_mean, cluster.now())
     }
 
-    /// Whether a request can be answered by an endpoint within this share of its latency objective.
+    /// Whether an endpoint can answer a request in time. `objective_factor` is the part of the latency
+    /// objective that is counted with: less than 1 keeps capacity for other requests.
     pub(crate) fn admits(
         &self,
         request: &PendingRequest,
         to: EndpointKey,
-        objective_share: f64,
+        objective_factor: f64,
         cluster: &Cluster,
     ) -> bool {
         // A late request must not wait in a longer queue: it would delay the requests that are still in time.
-        let is_late = cluster.now() >= request.objective_at();
-        let ends_at = if is_late { request.deadline() } else { request.objective_at() };
+        let is_late = cluster.now() >= request.terms().objective_at;
+        let ends_at = if is_late { request.terms().deadline } else { request.terms().objective_at };
         let time_left = ends_at - cluster.now();
-        let objective = time_left.min(cluster.class(request.class()).latency_objective) * objective_share;
+        let objective = time_left.min(cluster.class(request.class()).latency_objective) * objective_factor;
         let priority = self.relative_priority(request, cluster);
         let share = MIN_OBJECTIVE_SHARE + (MAX_OBJECTIVE_SHARE - MIN_OBJECTIVE_SHARE) * priority;
         let predicted = self.predicted_latency(to, request.class(), cluster);
@@ -119,7 +120,7 @@
         let priorities = classes.map(|(class, latency)| priority(class, latency));
         let highest = priorities.fold(MIN_HIGHEST_PRIORITY, f64::max);
         let own = priority(cluster.class(request.class()), &self.latencies[request.class()]) / highest;
-        match request.quota_use() {
+        match request.terms().quota_use {
             QuotaUse::Within => own,
             QuotaUse::Beyond => own * settings.over_quota_weight,
         }
@@ -133,7 +134,8 @@
     }
 }
 
-/// Some requests are admitted whatever the prediction, so that estimates can recover: few per pooler.
+/// Some requests are admitted whatever the prediction, so that estimates can recover: while the pooler has
+/// few in flight there, and one in each time that its part of [`ALWAYS_ADMITTED`] takes.
 fn always_admits(to: EndpointKey, predicted: Span, cluster: &Cluster) -> bool {
     let load = cluster.endpoint(to).load();
     let own_share = ALWAYS_ADMITTED / f64::from(cluster.settings().pooler_count);
@@ -143,5 +145,5 @@
 
 /// Weight over the root of the latency: of equal weights the quicker class is preferred, but not strictly.
 fn priority(class: &RequestClass, latency: &LatencyEstimator) -> f64 {
-    class.priority_weight / latency.mean().as_secs().max(MIN_PRIORITY_LATENCY).sqrt()
+    class.priority_weight / latency.mean().max(MIN_PRIORITY_LATENCY).as_secs().sqrt()
 }
--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -114,7 +114,8 @@
         self.max_offset.map(|bound| bound.offset + MAX_DRIFT * (now - bound.found_at))
     }
 
-    /// The offsets that agree with what primaries have shown; none at all while they have shown nothing.
+    /// The offsets that agree with what primaries have shown; no offset but zero while they have shown
+    /// nothing.
     fn known_interval(&self, now: LocalInstant) -> OffsetInterval {
         let Some(max) = self.known_max_offset(now) else {
             return OffsetInterval { min: Span::ZERO, max: Span::ZERO };
@@ -122,11 +123,11 @@
         OffsetInterval { min: self.known_min_offset(now).unwrap_or(max), max }
     }
 
-    /// The likely offset: none, as far as the bounds allow that.
+    /// The likely offset: zero, or the nearest offset to it that the evidence of primaries allows. Evidence
+    /// of replicas alone shows how far they may lag, and not how far the clock is wrong.
     fn likely_offset(&self, now: LocalInstant) -> Span {
-        let max = self.known_max_offset(now).unwrap_or_default();
-        // Evidence of replicas alone shows how far they may lag, and not how far the clock is wrong.
-        let min = self.known_max_offset(now).and(self.known_min_offset(now)).unwrap_or_default();
+        let Some(max) = self.known_max_offset(now) else { return Span::ZERO };
+        let min = self.known_min_offset(now).unwrap_or_default();
         Span::ZERO.min(max).max(min)
     }
 
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -70,15 +70,15 @@
     pub(crate) fn request_timer_expired(&mut self, key: RequestKey) {
         let Some(request) = self.requests.unfinished_mut(key) else { return };
         let final_timer_time = FINAL_TIMER_TICKS * self.cluster.settings().tick;
-        if self.cluster.now() + final_timer_time >= request.deadline() {
+        if self.cluster.now() + final_timer_time >= request.terms().deadline {
             self.give_up(key, GiveUpReason::Deadline);
         } else if request.has_reached_no_endpoint() {
             self.give_up(key, GiveUpReason::QueueTimeOver);
         }
     }
 
-    /// Gives up a request for which the process has no more time.
-    pub(crate) fn request_expired(&mut self, id: &RequestId) {
+    /// Gives up a request for which the process has no more time before it may be killed.
+    pub(crate) fn request_cut_off(&mut self, id: &RequestId) {
         let Some(key) = self.requests.key(id) else { return };
         if self.requests.unfinished_mut(key).is_some() {
             self.give_up(key, GiveUpReason::Shutdown);
@@ -91,7 +91,8 @@
         if let Err(reason) = retry::check_dispatch(request, &self.cluster) {
             return self.give_up(key, reason);
         }
-        let has_waited = self.cluster.now() >= request.queue_until() && request.has_reached_no_endpoint();
+        let has_waited =
+            self.cluster.now() >= request.terms().queue_until && request.has_reached_no_endpoint();
         match self.route(key) {
             Ok(endpoint) => self.send(key, endpoint),
             Err(NoRoute::Queue) if has_waited => self.give_up(key, GiveUpReason::QueueTimeOver),
@@ -179,7 +180,7 @@
         };
         let evidence = observation.evidence();
         if observation.is_connection_refused() {
-            self.connection_limit.record_refusal(&self.cluster);
+            self.connection_shortage.record_refusal(&self.cluster);
         }
         if result.outcome == Outcome::Success {
             self.admission.record_latency(ended.class, result.elapsed);
@@ -192,7 +193,7 @@
 
     fn close_idle_connections(&mut self, endpoint: EndpointKey) {
         let endpoint = self.cluster.endpoint(endpoint);
-        if self.connection_limit.is_reached(self.cluster.now()) && endpoint.load().in_flight() == 0 {
+        if self.connection_shortage.is_expected(self.cluster.now()) && endpoint.load().in_flight() == 0 {
             self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id().clone() });
         }
     }
@@ -204,7 +205,7 @@
         }
         let is_write = self.cluster.class(request.class()).is_write();
         let is_at_primary = self.cluster.endpoints().primary(request.group()) == Some(endpoint);
-        if let Err(reason) = retry::check_retry(result.outcome, is_at_primary, &mut self.retry_budget) {
+        if let Err(reason) = retry::charge_retry(result.outcome, is_at_primary, &mut self.retry_budget) {
             return self.give_up(key, reason);
         }
         if result.outcome == Outcome::Ineligible && is_write {
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -1,21 +1,27 @@
 //! Evidence: what the end of an attempt, a failed health check or silence shows of an endpoint.
 //!
+//! Latencies are those of the class of the request. An endpoint is ejected at a score of 2.0.
+//!
 //! | Outcome | Failure weight | Counts as load for | Latency sample | Freshness |
 //! |---|---|---|---|---|
 //! | `Success` | none; ends an ejection | | yes | |
 //! | `Ineligible` | | | | behind for as long as its lag |
-//! | `Overloaded` | | the mean latency | | |
+//! | `Overloaded` | | mean latency | | |
 //! | `Error` | [`FAILURE`] | | | |
 //! | `ConnectFailed`, refused | [`EJECTION_SCORE`]; [`CONNECTION_LOST`] if it has just answered | | | |
 //! | `ConnectFailed`, timed out | [`CONNECTION_LOST`], unless its silence has been counted | | | |
 //! | `ConnectionReset` | [`CONNECTION_RESET`] | | | |
-//! | `Timeout`, longer than usual | [`FAILURE`] if the endpoint is silent | mean and deviation | yes | |
-//! | `Timeout`, shorter; `Cancelled` | | mean and deviation | | |
+//! | `Timeout`, longer than usual | [`FAILURE`] if the endpoint is silent | mean + deviation | yes | |
+//! | `Timeout`, shorter; `Cancelled` | | mean + deviation | | |
 //! | `NotSent`, `InvalidRequest` | | | | |
 //! | silent endpoint | [`EJECTION_SCORE`]; [`CONNECTION_LOST`] for a primary's first late attempt | | | |
-//! | failed health check | [`FAILURE`] | | | |
+//! | failed health check, not for lack of capacity | [`FAILURE`] | | | |
+//!
+//! Besides, each response ends the silence of the endpoint, and carries its role and its log position; a
+//! refused connection may mean that the endpoint has no connections left, see
+//! [`ConnectionShortage`](crate::policy::connection_shortage::ConnectionShortage).
 //!
-//! [`EndpointState::apply_evidence`] takes it in. A restart resets the health of the endpoint, see
+//! [`EndpointState::apply_evidence`] takes the evidence in. A restart resets the health of the endpoint, see
 //! [`OutlierDetector::reset`](super::outlier_detection::OutlierDetector::reset).
 
 use crate::interface::{AttemptResult, Outcome};
--- a/src/policy/endpoint/outlier_detection.rs
+++ b/src/policy/endpoint/outlier_detection.rs
@@ -11,7 +11,8 @@
 
 /// Failure score at which an endpoint is ejected: two plain failures or one dead process.
 pub(crate) const EJECTION_SCORE: f64 = 2.0;
-/// Half-life of the failure score, in multiples of the connect timeout.
+/// Half-life of the failure score, in multiples of the connect timeout. That is the time in which an endpoint
+/// shows that it is there, so every time of this module is measured by it.
 const SCORE_HALF_LIFE: f64 = 8.0;
 /// Share of the failure score that one success leaves.
 const SCORE_LEFT_BY_SUCCESS: f64 = 0.5;
@@ -19,7 +20,7 @@
 const FIRST_EJECTION: f64 = 2.0;
 /// ... up to this multiple, so that a recovered endpoint is reinstated within a few seconds.
 pub(crate) const MAX_EJECTION: f64 = 12.0;
-/// Relapses beyond this many do not prolong the ejection any more.
+/// Relapses are counted up to this many: the ejection has its longest duration before.
 const MAX_COUNTED_EJECTIONS: i32 = 5;
 
 /// The evidence for and against ejecting one endpoint.
@@ -96,8 +97,7 @@
         self.trial_in_flight = false;
     }
 
-    /// Begins anew, since the endpoint has restarted. The count of ejections stays: a process that fails and
-    /// restarts again and again is an outlier too.
+    /// Begins anew, since the endpoint has restarted.
     pub(crate) fn reset(&mut self) {
         self.failure_score = 0.0;
         self.ejected_until = None;
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -102,7 +102,7 @@
         self.reported.map(|reported| reported.position)
     }
 
-    /// When it reported its log position.
+    /// When it first reported its present log position.
     pub(crate) fn reported_at(&self) -> Option<LocalInstant> {
         self.reported.map(|reported| reported.reported_at)
     }
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -1,8 +1,6 @@
 //! Failover: the election of a group's primary, the search for a lost one, and the requests that wait for it.
 
-use crate::interface::{Action, EndpointId, LoadReport, Outcome, StateChange};
-use crate::policy::cluster::EndpointKey;
-use crate::policy::endpoint::evidence;
+use crate::interface::{Action, StateChange};
 use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
 use crate::policy::primary::{self, search};
 use crate::policy::Policy;
@@ -69,7 +67,7 @@
         for &endpoint in group.members() {
             let is_due =
                 is_searching || is_in_use && self.health_checks.is_refresh_due(endpoint, &self.cluster);
-            if is_due && self.health_checks.start(endpoint, &self.cluster) {
+            if is_due && self.health_checks.try_start(endpoint, &self.cluster) {
                 let endpoint = self.cluster.endpoint(endpoint).id().clone();
                 self.actions.push(Action::HealthCheck { endpoint });
             }
@@ -85,32 +83,4 @@
         }
         self.send(write.request, write.endpoint);
     }
-
-    /// Takes in the end of a health check.
-    pub(crate) fn health_checked(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
-        let Some(endpoint) = self.cluster.endpoints().key(id) else { return };
-        self.health_checks.finished(endpoint);
-        match outcome {
-            // Not recorded as a success: an endpoint that hangs still answers health checks.
-            Outcome::Success => self.cluster.observe_report(endpoint, report),
-            // Endpoints limit the rate of health checks: a rejection is no failure.
-            Outcome::Overloaded | Outcome::NotSent => {}
-            _ => self.record_failure(endpoint, evidence::FAILURE),
-        }
-        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
-    }
-
-    /// Counts the silence of an endpoint, at which so many attempts are late, as a failure.
-    pub(crate) fn record_silence(&mut self, endpoint: EndpointKey, late_attempts: u32) {
-        let weight = evidence::weight_of_silence(self.cluster.is_primary(endpoint), late_attempts);
-        self.record_failure(endpoint, weight);
-    }
-
-    fn record_failure(&mut self, endpoint: EndpointKey, weight: f64) {
-        let now = self.cluster.now();
-        let connect_timeout = self.cluster.settings().connect_timeout;
-        let endpoint = self.cluster.endpoint_mut(endpoint);
-        let change = endpoint.record_failure(weight, now, connect_timeout, &mut self.rng);
-        self.actions.extend(change.map(Action::Log));
-    }
 }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -33,7 +33,7 @@
         match consistency {
             Consistency::Eventual => RequiredPosition::Any,
             Consistency::Session => session_token,
-            Consistency::BoundedStaleness(bound) => present(cluster, cluster.now()).lowered_by(bound),
+            Consistency::BoundedStaleness(bound) => position_at(cluster, cluster.now()).lowered_by(bound),
             Consistency::Write | Consistency::Strong => RequiredPosition::Unknown,
         }
     }
@@ -63,8 +63,8 @@
 
 /// The position that sees every commit until an instant. Where endpoints serve stale reads, it must not be
 /// too early; where they check reads themselves, a wrong guess costs no more than an attempt.
-pub(crate) fn present(cluster: &Cluster, instant: LocalInstant) -> RequiredPosition {
-    if cluster.settings().stale_reads.is_checked() {
+pub(crate) fn position_at(cluster: &Cluster, instant: LocalInstant) -> RequiredPosition {
+    if cluster.settings().stale_reads.rejects_stale_reads() {
         return RequiredPosition::AtLeast(cluster.clock().likely(instant));
     }
     cluster.clock().latest(instant).map_or(RequiredPosition::Unknown, RequiredPosition::AtLeast)
@@ -77,7 +77,7 @@
     Fresh,
     /// It may be; if it is not, it rejects the read without executing it.
     PossiblyFresh,
-    /// It is not, or would serve stale data if it were not.
+    /// It is known to be behind; or it may be behind, and would answer from stale data then.
     Stale,
 }
 
@@ -90,7 +90,7 @@
     if required.is_reached_at(endpoint.replication().log_position()) {
         return Freshness::Fresh;
     }
-    let is_checked = cluster.settings().stale_reads.is_checked();
+    let is_checked = cluster.settings().stale_reads.rejects_stale_reads();
     if is_checked
         && !endpoint.replication().is_marked_stale(cluster.now())
         && may_have_reached(endpoint, required, cluster)
@@ -113,14 +113,15 @@
     required.is_reached_at(Some(cluster.likely_now() - lag)) || has_caught_up
 }
 
-/// Whether an endpoint is known to be so far behind that no bounded read may go there.
-pub(crate) fn is_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
+/// Whether an endpoint may be so far behind that no bounded read may go there: by its last report, or since
+/// it has reported no position.
+pub(crate) fn may_be_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let required = cluster.likely_now() - cluster.shortest_staleness();
     endpoint.replication().log_position().is_none_or(|position| position < required)
 }
 
 /// Until when an endpoint that has just rejected a read is taken to be behind: it needs at least as long as
-/// its lag to catch up.
+/// its lag to catch up. No longer lag is assumed than an endpoint takes to warm up.
 pub(crate) fn stale_until(
     endpoint: &EndpointState,
     settings: &Settings,
@@ -137,8 +138,8 @@
     let max_age = cluster.shortest_staleness() * REFRESH_AGE_SHARE;
     let is_local = endpoint.listing().zone() == cluster.settings().zone;
     let is_old = endpoint.replication().reported_at().is_none_or(|at| cluster.now() - at > max_age);
-    let is_unknown =
-        endpoint.replication().log_position().is_none() && !cluster.settings().stale_reads.is_checked();
+    let is_unknown = endpoint.replication().log_position().is_none()
+        && !cluster.settings().stale_reads.rejects_stale_reads();
     is_local && is_old || is_unknown
 }
 
--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -1,8 +1,9 @@
 //! Giving up: why a request is not sent any further, and which final answer it gets.
 //!
 //! A request is rejected where a retry by its client is harmless, with a Retry-After if the settings allow
-//! one. Otherwise it fails: it may have been executed. The reason decides nothing but whether load shedding
-//! is logged; it is named at each place that gives up.
+//! one. Otherwise it fails: it may have been executed. The reason is named at each place that gives up; it
+//! stands in no log line and in no counter, but for load shedding. Queries that arrive during the graceful
+//! shutdown are rejected before they reach the policy, see `net::shutdown`.
 
 use fastrand::Rng;
 
@@ -14,7 +15,7 @@
 use crate::settings::RequestClass;
 use crate::time::Span;
 
-/// Retry-After of a rejection, as a share of the objective: short, so that the retry still falls within it.
+/// Mean Retry-After as a share of the latency objective: short, so that the retry still falls within it.
 const RETRY_AFTER_SHARE: f64 = 0.12;
 
 /// Why a request is given up.
@@ -24,19 +25,19 @@
     QueueTimeOver,
     /// Its deadline is reached.
     Deadline,
-    /// An answer would be too late to be of use.
+    /// An answer would come after the latency objective, and its class gives no weight to that.
     NoUsefulAnswer,
     /// It may not have another attempt.
     NoAttempt(NoAttempt),
     /// It may have been executed, and the retry budget is used up.
     NoRetryBudget,
-    /// Its primary has rejected it, and no other endpoint can take it.
+    /// The primary has rejected it as overloaded, and would reject a retry too.
     PrimaryOverloaded,
     /// No endpoint is predicted to answer it in time.
     NoCapacity,
-    /// No endpoint of its group may take it.
+    /// No endpoint of its group may take it: none is usable, all were tried, or the group is not known.
     NoEndpoint,
-    /// The process ends before it could be answered.
+    /// Other queries wait behind it on a connection, and the process may be killed before it is answered.
     Shutdown,
 }
 
@@ -60,9 +61,10 @@
     Action::Reject { id, retry_after }
 }
 
-/// The mean Retry-After. A retry within the objective still earns something; one that cannot is put off.
+/// The mean Retry-After: short while a retry can still be answered within the latency objective, and as long
+/// as the deadline once no answer has any weight.
 fn mean_retry_after(request: &PendingRequest, class: &RequestClass, cluster: &Cluster) -> Span {
-    let is_late = cluster.now() >= request.objective_at() - cluster.settings().tick;
+    let is_late = cluster.now() >= request.terms().objective_at - cluster.settings().tick;
     if is_late && class.late_weight == 0.0 {
         class.deadline
     } else {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -14,7 +14,7 @@
 //! | What may an endpoint get that is warming up? | [`slow_start`] |
 //! | Which endpoint is the primary? | [`primary`], [`failover`] |
 //! | What does an outcome show of its endpoint? | [`endpoint::evidence`] |
-//! | Which endpoints are ejected? | [`endpoint::outlier_detection`] |
+//! | Which endpoints are ejected? | [`endpoint::outlier_detection`], [`health`] |
 //! | Which attempts take too long? | [`overdue`] |
 //! | What does a session have to see? | [`session`] |
 //! | When is the endpoint list called for? | [`watch`] |
@@ -24,12 +24,14 @@
 
 mod admission;
 mod cluster;
-mod connection_limit;
+mod connection_shortage;
 mod dispatch;
 mod endpoint;
 mod failover;
 mod freshness;
 mod give_up;
+mod health;
+mod housekeeping;
 mod overdue;
 mod primary;
 mod random;
@@ -45,13 +47,13 @@
 
 use crate::interface::{Action, Endpoint, Event, StateChange, UpdateKind};
 use crate::settings::{validate, Settings, SettingsError};
-use crate::time::{LocalInstant, Span};
+use crate::time::LocalInstant;
 use admission::Admission;
 use cluster::{Cluster, EndpointKey};
-use connection_limit::ConnectionLimit;
+use connection_shortage::ConnectionShortage;
 use give_up::GiveUpReason;
+use housekeeping::Housekeeping;
 use primary::health_checks::HealthChecks;
-use random::Jitter;
 use request::RequestTable;
 use retry::RetryBudget;
 use session::Sessions;
@@ -60,20 +62,13 @@
 
 /// Cookie of the housekeeping timer; requests use their own key, from 1.
 const HOUSEKEEPING_COOKIE: u64 = 0;
-/// Housekeeping interval as a share of the shortest latency objective, which leaves time for a retry ...
-const HOUSEKEEPING_SHARE: f64 = 0.1;
-/// ... within these limits.
-const MIN_HOUSEKEEPING_INTERVAL: Span = Span::from_secs(0.01);
-const MAX_HOUSEKEEPING_INTERVAL: Span = Span::from_secs(0.1);
-/// Stands for the shortest latency objective where that is longer.
-const MAX_SHORTEST_OBJECTIVE: Span = Span::from_secs(1.0);
 /// A removed endpoint is forgotten after this multiple of the watch gap, far beyond every deadline.
 const FORGET_AFTER_WATCH_GAPS: f64 = 3.0;
 
 /// Why a request is not sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoRoute {
-    /// It waits for its group's primary.
+    /// It waits in the queue of its group.
     Queue,
     /// It is given up.
     GiveUp(GiveUpReason),
@@ -92,9 +87,8 @@
     health_checks: HealthChecks,
     sessions: Sessions,
     watch: Watch,
-    connection_limit: ConnectionLimit,
-    housekeeping_interval: Span,
-    is_housekeeping_scheduled: bool,
+    connection_shortage: ConnectionShortage,
+    housekeeping: Housekeeping,
     rng: Rng,
     /// What is to be done about the present event.
     actions: Vec<Action>,
@@ -116,9 +110,8 @@
             health_checks: HealthChecks::new(),
             sessions: Sessions::default(),
             watch: Watch::default(),
-            connection_limit: ConnectionLimit::default(),
-            housekeeping_interval: housekeeping_interval(&settings),
-            is_housekeeping_scheduled: false,
+            connection_shortage: ConnectionShortage::default(),
+            housekeeping: Housekeeping::new(&settings),
             rng: Rng::with_seed(seed),
             actions: Vec::new(),
             cluster: Cluster::new(settings),
@@ -139,7 +132,7 @@
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
             }
-            Event::Expired { id } => self.request_expired(&id),
+            Event::ShutdownImminent { id } => self.request_cut_off(&id),
             Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
             Event::Timer { cookie } => self.request_timer_expired(cookie),
         }
@@ -148,16 +141,14 @@
     }
 
     fn schedule_housekeeping(&mut self) {
-        if !std::mem::replace(&mut self.is_housekeeping_scheduled, true) {
-            let pause = Jitter::WIDE.apply(self.housekeeping_interval, &mut self.rng);
-            let at = self.cluster.now() + pause;
+        if let Some(at) = self.housekeeping.schedule(self.cluster.now(), &mut self.rng) {
             self.actions.push(Action::SetTimer { at, cookie: HOUSEKEEPING_COOKIE });
         }
     }
 
     /// Handles what no event announces: overdue attempts, queued requests, lost primaries and the watch.
     fn housekeep(&mut self) {
-        self.is_housekeeping_scheduled = false;
+        self.housekeeping.expired();
         let now = self.cluster.now();
         if self.watch.call_if_due(self.cluster.settings(), now) {
             self.actions.push(Action::Watch);
@@ -184,7 +175,7 @@
     fn endpoints_updated(&mut self, kind: UpdateKind, entries: &[Endpoint]) {
         if kind == UpdateKind::Cached {
             // After a restart no writes are remembered: any session may have written until now.
-            self.sessions.forget_everything_until(self.cluster.now());
+            self.sessions.assume_writes_until(self.cluster.now());
         } else if self.watch.succeeded() == WatchChange::Changed {
             self.actions.push(Action::Log(StateChange::WatchRestored));
         }
@@ -210,9 +201,3 @@
         self.cluster.endpoints().group_count()
     }
 }
-
-fn housekeeping_interval(settings: &Settings) -> Span {
-    let objectives = settings.classes.iter().map(|class| class.latency_objective);
-    let shortest = objectives.fold(MAX_SHORTEST_OBJECTIVE, Span::min);
-    (shortest * HOUSEKEEPING_SHARE).clamp(MIN_HOUSEKEEPING_INTERVAL, MAX_HOUSEKEEPING_INTERVAL)
-}
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -4,7 +4,6 @@
 use crate::policy::cluster::{Cluster, EndpointKey};
 use crate::policy::endpoint::evidence::LATE_DEVIATIONS;
 use crate::policy::request::{AttemptInFlight, RequestKey, RequestTable};
-use crate::policy::retry::Delay;
 use crate::settings::Idempotency;
 
 /// An attempt is overdue at this many deviations above the mean latency ...
@@ -14,6 +13,15 @@
 /// An endpoint counts as silent if it has answered nothing since an attempt that is this late.
 const SILENT_DEVIATIONS: f64 = 6.0;
 
+/// What an attempt that takes too long shows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct Delay {
+    /// The endpoint has answered nothing since the attempt was sent.
+    pub(crate) is_endpoint_silent: bool,
+    /// The endpoint has long answered later attempts: this answer is lost.
+    pub(crate) is_answer_lost: bool,
+}
+
 /// An attempt that takes too long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverdueAttempt {
--- a/src/policy/primary/health_checks.rs
+++ b/src/policy/primary/health_checks.rs
@@ -41,8 +41,9 @@
         is_due && freshness::needs_refresh(cluster.endpoint(endpoint), cluster)
     }
 
-    /// Starts a health check, if the budget allows one and none of this endpoint is in flight.
-    pub(crate) fn start(&mut self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
+    /// Notes that a health check is sent, if the budget allows one and none of this endpoint is in flight.
+    /// Returns whether it is.
+    pub(crate) fn try_start(&mut self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
         if !self.budget.has_token() || !cluster.accepts_requests(endpoint) {
             return false;
         }
@@ -51,7 +52,7 @@
             return false;
         }
         *checks = EndpointChecks { is_in_flight: true, last_sent_at: Some(cluster.now()) };
-        self.budget.withdraw();
+        self.budget.withdraw_up_to_one();
         true
     }
 
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -13,8 +13,8 @@
 
 /// Assumed age of the roles in the endpoint list, as a share of the watch gap.
 const LISTED_ROLE_AGE_SHARE: f64 = 0.5;
-/// Share of the latency objective for requests that need the primary.
-const OBJECTIVE_SHARE: f64 = 1.0;
+/// Part of the latency objective that admission control counts with for requests that need the primary.
+const OBJECTIVE_FACTOR: f64 = 1.0;
 /// Queued requests are dispatched while the primary has fewer requests in flight than this.
 const MAX_IN_FLIGHT_WHEN_DEQUEUING: u32 = 6;
 
@@ -32,7 +32,7 @@
 pub(crate) fn must_wait(request: &PendingRequest, primary: Option<EndpointKey>, cluster: &Cluster) -> bool {
     let in_flight = |endpoint: EndpointKey| cluster.endpoint(endpoint).load().in_flight();
     let is_busy = primary.is_some_and(|primary| in_flight(primary) >= MAX_IN_FLIGHT_WHEN_DEQUEUING);
-    is_busy && request.objective_at() > cluster.now()
+    is_busy && request.terms().objective_at > cluster.now()
 }
 
 /// Whether the primary gets a request that only the primary can take. The request is queued while no
@@ -52,7 +52,7 @@
     if !cluster.is_healthy(primary) || !slow_start.admits_to_primary(request, primary, cluster) {
         return Err(NoRoute::Queue);
     }
-    if !admission.admits(request, primary, OBJECTIVE_SHARE, cluster) {
+    if !admission.admits(request, primary, OBJECTIVE_FACTOR, cluster) {
         return Err(NoRoute::GiveUp(GiveUpReason::NoCapacity));
     }
     Ok(primary)
--- a/src/policy/random.rs
+++ b/src/policy/random.rs
@@ -1,4 +1,4 @@
-//! Random choices: jitter of intervals, and the two candidates of a choice.
+//! Random choices: jitter of intervals, and the power of two choices.
 
 use fastrand::Rng;
 
@@ -24,21 +24,21 @@
     }
 }
 
-/// Two random numbers, from which a choice between two candidates is made.
+/// The power of two random choices: two candidates are drawn, and the better one is taken.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PairOfDraws {
+pub(crate) struct TwoChoices {
     first: usize,
     second: usize,
 }
 
-impl PairOfDraws {
+impl TwoChoices {
     /// Draws both numbers.
-    pub(crate) fn draw(rng: &mut Rng) -> PairOfDraws {
-        PairOfDraws { first: rng.usize(..), second: rng.usize(..) }
+    pub(crate) fn draw(rng: &mut Rng) -> TwoChoices {
+        TwoChoices { first: rng.usize(..), second: rng.usize(..) }
     }
 
-    /// Two different places below `len`; the same place twice if there is only one.
-    pub(crate) fn places(self, len: usize) -> Option<[usize; 2]> {
+    /// Two different indices below `len`; the same index twice if there is only one.
+    pub(crate) fn indices(self, len: usize) -> Option<[usize; 2]> {
         let last = len.checked_sub(1)?;
         let first = self.first % len;
         let second = self.second % last.max(1);
--- a/src/policy/random/tests.rs
+++ b/src/policy/random/tests.rs
@@ -2,13 +2,13 @@
 use crate::time::tests::secs;
 
 #[test]
-fn two_draws_choose_two_different_places() {
-    let draws = |first, second| PairOfDraws { first, second };
-    assert_eq!(draws(3, 4).places(0), None);
-    assert_eq!(draws(3, 4).places(1), Some([0, 0]));
+fn two_draws_choose_two_different_indices() {
+    let draws = |first, second| TwoChoices { first, second };
+    assert_eq!(draws(3, 4).indices(0), None);
+    assert_eq!(draws(3, 4).indices(1), Some([0, 0]));
     for len in 2..6 {
         for draws in (0..40).map(|number| draws(number % 7, number / 7)) {
-            let [first, second] = draws.places(len).expect("there are places");
+            let [first, second] = draws.indices(len).expect("there are candidates");
             assert!(first != second && first < len && second < len, "{len} {draws:?}");
         }
     }
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -1,13 +1,15 @@
 //! Routing of reads: which endpoint gets a read that a replica may answer.
 //!
-//! The steps are tried in this order, and the first endpoint that admits the read gets it:
+//! Each of these steps chooses one endpoint at most; the read goes to the first one that admission control
+//! allows (see [`Admission::admits`]):
 //!
-//! 1. a fresh replica, first in the pooler's own zone;
-//! 2. a replica that may be fresh, if none is known to be;
+//! 1. a replica that is fresh, or may be and has no other request of this pooler, first in the pooler's zone;
+//! 2. a replica that may be fresh, if there is none for step 1;
 //! 3. the primary, as far as it has capacity to spare;
 //! 4. an ejected endpoint, as the last resort.
 //!
-//! An endpoint that was tried before is not tried again.
+//! An endpoint that was tried before is not tried again. If no step chooses an endpoint, the read waits in
+//! the queue of its group.
 
 use fastrand::Rng;
 
@@ -16,7 +18,7 @@
 use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
 use crate::policy::freshness::{self, Freshness, RequiredPosition};
 use crate::policy::give_up::GiveUpReason;
-use crate::policy::random::PairOfDraws;
+use crate::policy::random::TwoChoices;
 use crate::policy::request::PendingRequest;
 use crate::policy::slow_start::SlowStart;
 use crate::policy::{NoRoute, Route};
@@ -27,11 +29,10 @@
 const EXIT_MULTIPLE: u32 = 2;
 /// ... and at least this many more requests in flight.
 const EXIT_MARGIN: u32 = 3;
-/// Share of the latency objective for reads on a replica.
-const REPLICA_OBJECTIVE_SHARE: f64 = 1.0;
-/// Share of the latency objective for reads on the primary, which must keep capacity for writes and strong
-/// reads.
-const PRIMARY_OBJECTIVE_SHARE: f64 = 0.35;
+/// Part of the latency objective that admission control counts with for reads on a replica ...
+const REPLICA_OBJECTIVE_FACTOR: f64 = 1.0;
+/// ... and on the primary, which must keep capacity for writes and strong reads.
+const PRIMARY_OBJECTIVE_FACTOR: f64 = 0.35;
 /// So many replicas that are behind are considered for a long read: it would delay the log of each of them.
 const MAX_CANDIDATES_FOR_LONG_READ: usize = 2;
 
@@ -54,12 +55,12 @@
     required: RequiredPosition,
     /// Share of the group's reads for an endpoint in slow start.
     slow_start_share: f64,
-    draws: PairOfDraws,
+    choices: TwoChoices,
     primary: Option<EndpointKey>,
     /// Usable endpoints of its group that it has not tried; the primary among them.
     candidates: Vec<EndpointKey>,
-    /// The replicas among them that are fresh and fit.
-    fresh_replicas: Vec<EndpointKey>,
+    /// The replicas among them for step 1.
+    preferred_replicas: Vec<EndpointKey>,
 }
 
 impl<'a> ReadRouter<'a> {
@@ -71,7 +72,7 @@
         slow_start: &'a SlowStart,
         rng: &mut Rng,
     ) -> Option<ReadRouter<'a>> {
-        let draws = PairOfDraws::draw(rng);
+        let choices = TwoChoices::draw(rng);
         let group = cluster.group(request.group())?;
         let consistency = cluster.class(request.class()).consistency;
         let is_new = |endpoint: &EndpointKey| !request.has_tried(*endpoint);
@@ -80,21 +81,22 @@
             cluster,
             admission,
             slow_start,
-            required: RequiredPosition::of(consistency, request.session_token(), cluster),
-            slow_start_share: slow_start.read_share(group, cluster),
-            draws,
+            required: RequiredPosition::of(consistency, request.terms().session_token, cluster),
+            slow_start_share: slow_start.share_of_reads(group, cluster),
+            choices,
             primary: group.primary(),
             candidates: cluster.usable_endpoints(group).filter(is_new).collect(),
-            fresh_replicas: Vec::new(),
+            preferred_replicas: Vec::new(),
         };
-        router.fresh_replicas = router.replicas().filter(|replica| router.is_fresh(*replica)).collect();
+        router.preferred_replicas =
+            router.replicas().filter(|replica| router.is_preferred(*replica)).collect();
         Some(router)
     }
 
     /// The endpoint that gets the read, or why none does now.
     pub(crate) fn route(&self) -> Route {
         let steps = [
-            ReadRouter::fresh_replica,
+            ReadRouter::preferred_replica,
             ReadRouter::possibly_fresh_replica,
             ReadRouter::primary_with_spare_capacity,
             ReadRouter::ejected_endpoint,
@@ -114,9 +116,9 @@
         Err(no_route)
     }
 
-    fn fresh_replica(&self) -> Step {
-        match self.choose_fresh_replica() {
-            Some(replica) => self.admit(replica, REPLICA_OBJECTIVE_SHARE),
+    fn preferred_replica(&self) -> Step {
+        match self.choose_preferred_replica() {
+            Some(replica) => self.admit(replica, REPLICA_OBJECTIVE_FACTOR),
             None => Step::NoCandidate,
         }
     }
@@ -124,24 +126,26 @@
     /// A replica that may be fresh: if it is not, it rejects the read without executing it. One that cannot
     /// answer in time leaves the read in the queue for the primary.
     fn possibly_fresh_replica(&self) -> Step {
-        if !self.fresh_replicas.is_empty() {
+        if !self.preferred_replicas.is_empty() {
             return Step::NoCandidate;
         }
-        let may_take_it =
-            |replica: &EndpointKey| self.freshness(*replica) != Freshness::Stale && self.is_fit(*replica);
+        let may_take_it = |replica: &EndpointKey| {
+            self.freshness(*replica) != Freshness::Stale && self.is_available(*replica)
+        };
         let candidates = self.replicas().filter(may_take_it);
         let cost = |replica: &EndpointKey| (!self.cluster.is_local(*replica), self.cluster.load(*replica));
         let Some(replica) = candidates.min_by_key(cost) else { return Step::NoCandidate };
-        match self.admit(replica, REPLICA_OBJECTIVE_SHARE) {
+        match self.admit(replica, REPLICA_OBJECTIVE_FACTOR) {
             Step::NotAdmitted => Step::NoCandidate,
             step => step,
         }
     }
 
     fn primary_with_spare_capacity(&self) -> Step {
-        let is_usable = |primary: &EndpointKey| self.candidates.contains(primary) && self.is_fit(*primary);
+        let is_usable =
+            |primary: &EndpointKey| self.candidates.contains(primary) && self.is_available(*primary);
         match self.primary.filter(is_usable) {
-            Some(primary) => self.admit(primary, PRIMARY_OBJECTIVE_SHARE),
+            Some(primary) => self.admit(primary, PRIMARY_OBJECTIVE_FACTOR),
             None => Step::NoCandidate,
         }
     }
@@ -154,13 +158,13 @@
             self.ejection_end(*endpoint) + latency
         };
         match ejected.min_by_key(cost) {
-            Some(endpoint) => self.admit(endpoint, REPLICA_OBJECTIVE_SHARE),
+            Some(endpoint) => self.admit(endpoint, REPLICA_OBJECTIVE_FACTOR),
             None => Step::NoCandidate,
         }
     }
 
-    fn admit(&self, endpoint: EndpointKey, objective_share: f64) -> Step {
-        if self.admission.admits(self.request, endpoint, objective_share, self.cluster) {
+    fn admit(&self, endpoint: EndpointKey, objective_factor: f64) -> Step {
+        if self.admission.admits(self.request, endpoint, objective_factor, self.cluster) {
             Step::Chosen(endpoint)
         } else {
             Step::NotAdmitted
@@ -171,8 +175,8 @@
         self.candidates.iter().copied().filter(|endpoint| Some(*endpoint) != self.primary)
     }
 
-    /// Whether an endpoint may get requests, by its health and its slow start.
-    fn is_fit(&self, endpoint: EndpointKey) -> bool {
+    /// Whether the health and the slow start of an endpoint allow that it gets the read.
+    fn is_available(&self, endpoint: EndpointKey) -> bool {
         let is_available = self.cluster.is_healthy(endpoint) || self.cluster.is_trial_due(endpoint);
         is_available && self.slow_start_admits(endpoint)
     }
@@ -186,25 +190,25 @@
     }
 
     /// A local replica that may be fresh gets one read at a time, so that its log position becomes known.
-    fn is_fresh(&self, replica: EndpointKey) -> bool {
+    fn is_preferred(&self, replica: EndpointKey) -> bool {
         let is_idle = self.cluster.endpoint(replica).load().in_flight() == 0;
-        let is_fresh = match self.freshness(replica) {
+        let is_recent = match self.freshness(replica) {
             Freshness::Fresh => true,
             Freshness::PossiblyFresh => self.cluster.is_local(replica) && is_idle,
             Freshness::Stale => false,
         };
-        is_fresh && self.is_fit(replica)
+        is_recent && self.is_available(replica)
     }
 
-    fn is_behind(&self, replica: EndpointKey) -> bool {
-        freshness::is_behind(self.cluster.endpoint(replica), self.cluster)
+    fn may_be_behind(&self, replica: EndpointKey) -> bool {
+        freshness::may_be_behind(self.cluster.endpoint(replica), self.cluster)
     }
 
-    fn choose_fresh_replica(&self) -> Option<EndpointKey> {
-        if self.is_long_read() && self.fresh_replicas.iter().any(|replica| self.is_behind(*replica)) {
+    fn choose_preferred_replica(&self) -> Option<EndpointKey> {
+        if self.is_long_read() && self.preferred_replicas.iter().any(|replica| self.may_be_behind(*replica)) {
             return Some(self.choose_most_behind());
         }
-        let all = self.fresh_replicas.iter().copied();
+        let all = self.preferred_replicas.iter().copied();
         let (local, remote): (Vec<_>, Vec<_>) = all.partition(|replica| self.cluster.is_local(*replica));
         let Some(local_choice) = self.choose_of_two(&local) else { return self.choose_of_two(&remote) };
         let least_loaded = remote.into_iter().min_by_key(|replica| self.cluster.load(*replica));
@@ -219,11 +223,12 @@
         load > EXIT_MULTIPLE * other_load && load >= other_load + EXIT_MARGIN
     }
 
-    /// The less loaded of two random replicas; on a tie, an eventual read leaves the fresh one to others.
+    /// The less loaded of two random replicas; on a tie, an eventual read leaves the more recent one to
+    /// others.
     fn choose_of_two(&self, replicas: &[EndpointKey]) -> Option<EndpointKey> {
-        let pair = self.draws.places(replicas.len())?.map(|place| replicas[place]);
+        let pair = self.choices.indices(replicas.len())?.map(|index| replicas[index]);
         let cost = |replica: &EndpointKey| {
-            (self.cluster.load(*replica), self.is_eventual() && !self.is_behind(*replica))
+            (self.cluster.load(*replica), self.is_eventual() && !self.may_be_behind(*replica))
         };
         pair.into_iter().min_by_key(cost)
     }
@@ -241,13 +246,13 @@
     /// Long reads gather on the replica that is most behind, and move from a busy one to the next most
     /// behind: a replica without load may be catching up.
     fn choose_most_behind(&self) -> EndpointKey {
-        let mut by_position = self.fresh_replicas.clone();
+        let mut by_position = self.preferred_replicas.clone();
         by_position.sort_by_key(|replica| self.cluster.endpoint(*replica).replication().log_position());
         let is_busy = |pair: &[EndpointKey]| self.should_leave(pair[0], pair[1]);
         let first_not_busy = by_position.windows(2).position(|pair| !is_busy(pair));
         let candidates = &by_position[first_not_busy.unwrap_or(by_position.len() - 1)..];
         let is_admitted = |replica: &&EndpointKey| {
-            matches!(self.admit(**replica, REPLICA_OBJECTIVE_SHARE), Step::Chosen(_))
+            matches!(self.admit(**replica, REPLICA_OBJECTIVE_FACTOR), Step::Chosen(_))
         };
         let chosen = candidates.iter().take(MAX_CANDIDATES_FOR_LONG_READ).find(is_admitted);
         *chosen.unwrap_or(&candidates[0])
@@ -261,7 +266,8 @@
         }
         let is_primary = Some(endpoint) == self.primary;
         let is_recent = is_primary || self.freshness(endpoint) != Freshness::Stale;
-        let may_answer = self.is_retry_due(endpoint) || !is_primary && self.has_answered_recently(endpoint);
+        let may_answer =
+            self.may_be_tried_early(endpoint) || !is_primary && self.has_answered_recently(endpoint);
         is_recent && may_answer && self.slow_start_admits(endpoint)
     }
 
@@ -275,7 +281,7 @@
     }
 
     /// Whether an ejected endpoint may be tried before its time, since no endpoint is healthy.
-    fn is_retry_due(&self, endpoint: EndpointKey) -> bool {
+    fn may_be_tried_early(&self, endpoint: EndpointKey) -> bool {
         let none_is_healthy = !self.candidates.iter().any(|other| self.cluster.is_healthy(*other));
         let health = self.cluster.endpoint(endpoint).health();
         let connect_timeout = self.cluster.settings().connect_timeout;
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -94,34 +94,9 @@
         self.session.as_ref()
     }
 
-    /// When its latency objective is over.
-    pub(crate) fn objective_at(&self) -> LocalInstant {
-        self.terms.objective_at
-    }
-
-    /// When its client stops waiting.
-    pub(crate) fn deadline(&self) -> LocalInstant {
-        self.terms.deadline
-    }
-
-    /// Until then it may wait without having reached any endpoint.
-    pub(crate) fn queue_until(&self) -> LocalInstant {
-        self.terms.queue_until
-    }
-
-    /// The log position that it has to see as a session read.
-    pub(crate) fn session_token(&self) -> RequiredPosition {
-        self.terms.session_token
-    }
-
-    /// Whether it is within the quota of its tenant.
-    pub(crate) fn quota_use(&self) -> QuotaUse {
-        self.terms.quota_use
-    }
-
-    /// A number from 0 to 1 that decides where only a share of all requests may go.
-    pub(crate) fn sampling_draw(&self) -> f64 {
-        self.terms.sampling_draw
+    /// What was found out about it when it was received.
+    pub(crate) fn terms(&self) -> &RequestTerms {
+        &self.terms
     }
 
     /// Its attempts, in the order in which they were sent.
@@ -178,9 +153,9 @@
     /// Until when an answer is of use: the deadline, or the latency objective if a late answer earns nothing.
     pub(crate) fn useful_until(&self, class: &RequestClass) -> LocalInstant {
         if class.late_weight > 0.0 {
-            self.deadline()
+            self.terms.deadline
         } else {
-            self.objective_at()
+            self.terms.objective_at
         }
     }
 
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -1,15 +1,24 @@
 //! Retries: whether a request may be sent once more, and until when.
 //!
-//! A request may have another attempt while all of this holds:
+//! The rules, in the order in which they are checked after an attempt has ended, with the reason for each:
 //!
-//! - fewer attempts are in flight than the settings allow: one, or two where requests are hedged;
-//! - fewer attempts were made than `max_attempts`;
-//! - no earlier attempt may have been executed, or a repeat is harmless: the class is idempotent, or its
-//!   requests carry an idempotency key and the deduplication window of the first such attempt is still open;
-//! - the final answer is not due, and an answer would still be of use;
-//! - the [`RetryBudget`] has a token, if the earlier attempt may have been executed.
+//! | Rule | Function | Reason |
+//! | --- | --- | --- |
+//! | The primary has not rejected it as overloaded | [`charge_retry`] | `PrimaryOverloaded` |
+//! | If the attempt may have run, the budget has a token | [`charge_retry`] | `NoRetryBudget` |
+//! | Fewer attempts are in flight than 1, or 2 with hedging | [`next_attempt`] | `InFlight` |
+//! | Fewer attempts were made than `max_attempts` | [`next_attempt`] | `NoneLeft` |
+//! | No attempt may have run, or a repeat is harmless | [`next_attempt`] | `MayTakeEffectTwice` |
+//! | An answer would still be of use | [`check_dispatch`] | `NoUsefulAnswer` |
+//! | The final answer is not due | [`check_dispatch`] | `Deadline` |
 //!
-//! Retries of what was not executed need no budget: the endpoint did no work for them.
+//! An attempt in flight counts as one that may have run. A repeat is harmless if the class is idempotent,
+//! or if its requests carry an idempotency key and the deduplication window is open, counted from the first
+//! attempt that may have been executed. The latest time is the deadline or the end of that window.
+//! [`next_attempt`] is checked once more where an attempt is sent.
+//!
+//! A token that was taken is not given back if a later rule forbids the retry. A hedged request always costs
+//! a token, see [`replacement`].
 
 mod budget;
 
@@ -17,6 +26,7 @@
 use crate::policy::admission::LatencyEstimator;
 use crate::policy::cluster::Cluster;
 use crate::policy::give_up::GiveUpReason;
+use crate::policy::overdue::Delay;
 use crate::policy::request::PendingRequest;
 use crate::settings::{Consistency, DeduplicationScope, Idempotency, RequestClass, Settings};
 use crate::time::{LocalInstant, Span};
@@ -24,7 +34,7 @@
 
 /// How long the process may be suspended between a decision and the write that follows from it.
 const MAX_PROCESS_PAUSE: Span = Span::from_secs(0.15);
-/// An attempt that has been replaced so many times is left alone.
+/// Only this many attempts of a request are replaced when they take too long: the first ones.
 const MAX_REPLACED_ATTEMPTS: usize = 3;
 
 /// Why a request may not have another attempt.
@@ -45,7 +55,7 @@
     Never,
 }
 
-/// Whether a request may have one more attempt now. Returns the time by which that must be answered: the
+/// Whether the attempts so far allow one more now. Returns the time by which that must be answered: the
 /// deadline, or the end of the deduplication window if that is earlier.
 pub(crate) fn next_attempt(request: &PendingRequest, cluster: &Cluster) -> Result<LocalInstant, NoAttempt> {
     let settings = cluster.settings();
@@ -55,17 +65,17 @@
     if request.attempts().len() >= settings.max_attempts as usize {
         return Err(NoAttempt::NoneLeft);
     }
-    let Some(first_sent_at) = request.may_have_run_since() else { return Ok(request.deadline()) };
+    let Some(first_sent_at) = request.may_have_run_since() else { return Ok(request.terms().deadline) };
     match repeat_limit(cluster.class(request.class()), first_sent_at) {
-        RepeatLimit::Always => Ok(request.deadline()),
-        RepeatLimit::Until(window_end) => answer_within_window(request, window_end, cluster),
+        RepeatLimit::Always => Ok(request.terms().deadline),
+        RepeatLimit::Until(window_end) => answer_due_within_window(request, window_end, cluster),
         RepeatLimit::Never => Err(NoAttempt::MayTakeEffectTwice),
     }
 }
 
 /// A repeat must reach its endpoint within the deduplication window: neither the time to connect nor a
 /// pause of the process may delay it until later.
-fn answer_within_window(
+fn answer_due_within_window(
     request: &PendingRequest,
     window_end: LocalInstant,
     cluster: &Cluster,
@@ -74,7 +84,7 @@
     if cluster.now() >= window_end - reserve {
         return Err(NoAttempt::MayTakeEffectTwice);
     }
-    Ok(request.deadline().min(window_end - MAX_PROCESS_PAUSE))
+    Ok(request.terms().deadline.min(window_end - MAX_PROCESS_PAUSE))
 }
 
 fn repeat_limit(class: &RequestClass, first_sent_at: LocalInstant) -> RepeatLimit {
@@ -100,17 +110,17 @@
 
 /// The final answer is due a tick before the deadline: nothing that is sent then could be answered in time.
 fn is_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
-    cluster.now() + cluster.settings().tick >= request.deadline()
+    cluster.now() + cluster.settings().tick >= request.terms().deadline
 }
 
-/// Whether a request may be retried after an attempt that ended in this way. Takes a retry from the budget
-/// if it may have been executed.
-pub(crate) fn check_retry(
+/// Takes the retry that follows an attempt with this outcome from the budget, if the attempt may have been
+/// executed.
+pub(crate) fn charge_retry(
     outcome: Outcome,
     is_at_primary: bool,
     budget: &mut RetryBudget,
 ) -> Result<(), GiveUpReason> {
-    // An overloaded primary cannot be replaced: a retry would find it as overloaded.
+    // A retry would find the primary as overloaded.
     if is_at_primary && outcome == Outcome::Overloaded {
         return Err(GiveUpReason::PrimaryOverloaded);
     }
@@ -128,15 +138,6 @@
     is_write && is_unexecuted && !request.is_finished() && !is_answer_due(request, cluster)
 }
 
-/// What an attempt that takes too long shows.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Delay {
-    /// The endpoint has answered nothing since the attempt was sent.
-    pub(crate) is_endpoint_silent: bool,
-    /// The endpoint has long answered later attempts: this answer is lost.
-    pub(crate) is_answer_lost: bool,
-}
-
 /// What replaces an attempt that takes too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Replacement {
@@ -179,7 +180,7 @@
 ) -> bool {
     let class = cluster.class(request.class());
     let useful_until =
-        if delay.is_answer_lost { request.useful_until(class) } else { request.objective_at() };
+        if delay.is_answer_lost { request.useful_until(class) } else { request.terms().objective_at };
     useful_until - cluster.now() > mean_latency
 }
 
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -93,15 +93,15 @@
 fn only_retries_of_what_may_have_run_use_up_the_budget() {
     let mut budget = RetryBudget::new();
     for _ in 0..100 {
-        assert_eq!(check_retry(Outcome::Ineligible, true, &mut budget), Ok(()));
-        assert_eq!(check_retry(Outcome::Overloaded, false, &mut budget), Ok(()));
+        assert_eq!(charge_retry(Outcome::Ineligible, true, &mut budget), Ok(()));
+        assert_eq!(charge_retry(Outcome::Overloaded, false, &mut budget), Ok(()));
     }
-    assert_eq!(check_retry(Outcome::Overloaded, true, &mut budget), Err(GiveUpReason::PrimaryOverloaded));
-    let retries = (0..100).filter(|_| check_retry(Outcome::Error, false, &mut budget).is_ok()).count();
+    assert_eq!(charge_retry(Outcome::Overloaded, true, &mut budget), Err(GiveUpReason::PrimaryOverloaded));
+    let retries = (0..100).filter(|_| charge_retry(Outcome::Error, false, &mut budget).is_ok()).count();
     assert_eq!(retries, 10, "half of the largest budget");
-    assert_eq!(check_retry(Outcome::Timeout, false, &mut budget), Err(GiveUpReason::NoRetryBudget));
+    assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Err(GiveUpReason::NoRetryBudget));
     (0..11).for_each(|_| budget.deposit());
-    assert_eq!(check_retry(Outcome::Timeout, false, &mut budget), Ok(()));
+    assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Ok(()));
 }
 
 const SILENT: Delay = Delay { is_endpoint_silent: true, is_answer_lost: false };
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -29,8 +29,8 @@
 }
 
 impl Sessions {
-    /// Notes that writes until now are not known, as after a restart.
-    pub(crate) fn forget_everything_until(&mut self, now: LocalInstant) {
+    /// Notes that writes until this time are not known, as after a restart: any session may have written.
+    pub(crate) fn assume_writes_until(&mut self, now: LocalInstant) {
         self.unknown_writes_until = Some(now);
     }
 
@@ -50,11 +50,11 @@
         }
         // A write of the session that is in flight may have been executed already.
         if has_write_in_flight(request.session.as_ref(), pending, cluster) {
-            return freshness::present(cluster, cluster.now());
+            return freshness::position_at(cluster, cluster.now());
         }
         let remembered = RequiredPosition::from(self.commits.last_commit(request.session.as_ref()));
         match self.unknown_writes_until {
-            Some(until) => remembered.max(freshness::present(cluster, until)),
+            Some(until) => remembered.max(freshness::position_at(cluster, until)),
             None => remembered,
         }
     }
@@ -71,7 +71,7 @@
             return;
         }
         let Some(session) = request.session() else { return };
-        let latest = freshness::present(cluster, cluster.now());
+        let latest = freshness::position_at(cluster, cluster.now());
         match reported_commit(result, cluster).map_or(latest, RequiredPosition::AtLeast) {
             RequiredPosition::AtLeast(commit) => self.commits.remember(session.clone(), commit),
             // The clock of the endpoints is not known yet.
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -30,17 +30,18 @@
 const BUDGET_SHARE_OF_LIMIT: f64 = 0.85;
 /// Stands for an overload limit that the settings leave out, where a rate is computed from it.
 const MAX_OVERLOAD_LIMIT: f64 = 1e6;
-/// What an endpoint may get at once, as a share of what it may get while it withstands an overload.
+/// Capacity of a budget beyond one request, as a share of what it earns in the overload window.
 const BURST_SHARE: f64 = 0.1;
-/// Tokens in the budget of an endpoint that has just started.
+/// Tokens in the budget of an endpoint that has just started, where the pooler knows of no usual traffic.
+/// Other budgets are full at their first use.
 const INITIAL_BUDGET: f64 = 1.0;
 /// Time over which the usual rate of requests is taken: far longer than a burst.
 const USUAL_RATE_TIME: Span = Span::from_secs(60.0);
 /// A burst counts towards the usual rate by this multiple of what is usual, so that traffic which has grown
 /// for good becomes usual in some minutes.
 const USUAL_RATE_GROWTH: f64 = 1.1;
-/// Weight of a new sample in the share of reads, which changes slowly: about fifty requests.
-const READ_SHARE_WEIGHT: f64 = 0.02;
+/// Weight of a new sample in the share of reads in the traffic, which changes slowly: about fifty requests.
+const READS_IN_TRAFFIC_WEIGHT: f64 = 0.02;
 
 /// How often requests for a group are received.
 #[derive(Default)]
@@ -64,8 +65,8 @@
 
 /// What endpoints that are warming up may get, and the traffic from which this is computed.
 pub(crate) struct SlowStart {
-    /// Running share of the requests that a replica may answer.
-    read_share: f64,
+    /// Running share of all requests that a replica may answer.
+    reads_in_traffic: f64,
     traffic: BTreeMap<u32, GroupTraffic>,
     /// The budget of each endpoint; one that has none yet has [`INITIAL_BUDGET`].
     budgets: Vec<TokenBucket>,
@@ -74,13 +75,13 @@
 impl SlowStart {
     /// Limits that know of no traffic yet.
     pub(crate) fn new() -> SlowStart {
-        SlowStart { read_share: 1.0, traffic: BTreeMap::new(), budgets: Vec::new() }
+        SlowStart { reads_in_traffic: 1.0, traffic: BTreeMap::new(), budgets: Vec::new() }
     }
 
     /// Counts a request that was received for a group.
     pub(crate) fn record_request(&mut self, group: u32, needs_primary: bool, cluster: &Cluster) {
         let is_read = f64::from(u8::from(!needs_primary));
-        self.read_share += READ_SHARE_WEIGHT * (is_read - self.read_share);
+        self.reads_in_traffic += READS_IN_TRAFFIC_WEIGHT * (is_read - self.reads_in_traffic);
         let (now, overload_window) = (cluster.now(), cluster.settings().overload_window);
         if let Some(traffic) = self.traffic.get_mut(&group) {
             traffic.record(now, overload_window);
@@ -102,7 +103,7 @@
     }
 
     /// Whether an endpoint that may be warming up may get this read, at most once. `share` is that of its
-    /// group, see [`read_share`](Self::read_share).
+    /// group, see [`share_of_reads`](Self::share_of_reads).
     pub(crate) fn admits_read(
         &self,
         request: &PendingRequest,
@@ -128,20 +129,21 @@
     }
 
     fn admits_share(&self, request: &PendingRequest, to: EndpointKey, share: f64, cluster: &Cluster) -> bool {
-        let is_sampled = request.sampling_draw() < share && !request.has_tried(to);
+        let is_sampled = request.terms().sampling_draw < share && !request.has_tried(to);
         is_sampled && self.budget(to, cluster).has_token()
     }
 
-    /// Share of a group's reads that an endpoint in slow start may get, in multiples of its capacity: its
-    /// overload limit over the capacity of the group.
-    pub(crate) fn read_share(&self, group: &Group, cluster: &Cluster) -> f64 {
+    /// Share of a group's reads that an endpoint in slow start may get, in multiples of its present
+    /// capacity: a part of its overload limit, over what the endpoints of the group get of reads on the
+    /// mean.
+    pub(crate) fn share_of_reads(&self, group: &Group, cluster: &Cluster) -> f64 {
         let Some(limit) = cluster.settings().overload_limit else { return MAX_READ_SHARE };
-        let reads = group_capacity(group, cluster).max(1.0) * self.read_share;
+        let reads = group_capacity(group, cluster).max(1.0) * self.reads_in_traffic;
         (limit * READ_SHARE_OF_LIMIT / reads).min(MAX_READ_SHARE)
     }
 
     /// Spends the budget of an endpoint on a request that is sent to it, if it is warming up. The trial of an
-    /// ejected endpoint needs no budget, but uses it.
+    /// ejected primary needs no budget, but uses it.
     pub(crate) fn spend(&mut self, to: EndpointKey, cluster: &Cluster) {
         if capacity(to, cluster) >= 1.0 {
             return;
@@ -173,7 +175,7 @@
         let Some(group) = cluster.group(group_id) else { return 0.0 };
         let Some(traffic) = self.traffic.get(&group_id) else { return 0.0 };
         let equal_part = 1.0 / group_capacity(group, cluster).max(1.0);
-        let part = equal_part.max(1.0 - self.read_share);
+        let part = equal_part.max(1.0 - self.reads_in_traffic);
         part * traffic.usual_rate.per_second(cluster.now(), USUAL_RATE_TIME)
     }
 }
--- a/src/policy/token_bucket.rs
+++ b/src/policy/token_bucket.rs
@@ -13,7 +13,8 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds so many tokens, up to `capacity`, and earns none with time.
+    /// A bucket that holds so many tokens, up to `capacity`, and earns none with time unless it is refilled
+    /// at a rate. It counts as last refilled at the zero of the clock.
     pub(crate) fn new(tokens: f64, capacity: f64) -> TokenBucket {
         TokenBucket { tokens, capacity, refill_rate: 0.0, refilled_at: LocalInstant::EPOCH }
     }
@@ -24,7 +25,7 @@
     }
 
     /// A bucket that earns so many tokens per second, and holds those of a second or `min_capacity`,
-    /// whichever is more. It starts with `min_capacity` tokens.
+    /// whichever is more. It starts with `min_capacity` tokens, and earns from the zero of the clock on.
     pub(crate) fn earning(refill_rate: f64, min_capacity: f64) -> TokenBucket {
         let capacity = refill_rate.max(min_capacity);
         TokenBucket { refill_rate, ..TokenBucket::new(min_capacity, capacity) }
@@ -57,11 +58,11 @@
 
     /// Takes a token if a complete one is there. Returns whether it did.
     pub(crate) fn try_withdraw(&mut self) -> bool {
-        self.has_token() && self.withdraw()
+        self.has_token() && self.withdraw_up_to_one()
     }
 
     /// Takes a token; of less than one, all that is there. Returns whether a complete one was there.
-    pub(crate) fn withdraw(&mut self) -> bool {
+    pub(crate) fn withdraw_up_to_one(&mut self) -> bool {
         let had_token = self.has_token();
         self.tokens = (self.tokens - 1.0).max(0.0);
         had_token
--- a/src/policy/token_bucket/tests.rs
+++ b/src/policy/token_bucket/tests.rs
@@ -21,7 +21,7 @@
 #[test]
 fn a_forced_withdrawal_takes_what_is_there() {
     let mut bucket = TokenBucket::new(0.5, 2.0);
-    assert!(!bucket.withdraw());
+    assert!(!bucket.withdraw_up_to_one());
     bucket.deposit(0.5);
     assert!(!bucket.has_token());
 }
@@ -29,8 +29,8 @@
 #[test]
 fn an_earning_bucket_refills_with_time_and_never_with_time_that_runs_back() {
     let mut bucket = TokenBucket::earning(0.5, 2.0);
-    assert!(bucket.refill(at(10.0)).withdraw());
-    assert!(bucket.withdraw());
+    assert!(bucket.refill(at(10.0)).withdraw_up_to_one());
+    assert!(bucket.withdraw_up_to_one());
     assert!(!bucket.refill(at(5.0)).has_token());
     assert!(!bucket.refill(at(6.9)).has_token());
     assert!(bucket.refill(at(7.1)).has_token());
@@ -40,7 +40,7 @@
 fn a_bucket_without_a_limit_always_has_a_token() {
     let mut bucket = TokenBucket::earning(f64::INFINITY, 2.0);
     for _ in 0..100 {
-        assert!(bucket.refill(at(0.0)).withdraw());
+        assert!(bucket.refill(at(0.0)).withdraw_up_to_one());
     }
 }
 
--- a/src/policy/watch.rs
+++ b/src/policy/watch.rs
@@ -9,11 +9,11 @@
 
 /// Longest mean backoff between calls: the list must be current 6 s after discovery is back.
 const MAX_BACKOFF: Span = Span::from_secs(0.8);
-/// The first backoff, as a share of the longest watch gap; it is doubled before each use.
-const FIRST_BACKOFF_SHARE: f64 = 1.0 / 64.0;
+/// Half of the first backoff, as a share of the longest watch gap: each failure doubles it.
+const BACKOFF_UNIT_SHARE: f64 = 1.0 / 64.0;
 /// A call without any answer is repeated after this time.
 const CALL_TIMEOUT: Span = Span::from_secs(4.0);
-/// Failures beyond this many do not prolong the backoff any more.
+/// Failures are counted up to this many: the backoff has its longest duration before.
 const MAX_COUNTED_FAILURES: i32 = 8;
 
 /// Whether an event has changed the condition of the watch.
@@ -49,7 +49,7 @@
         self.is_open = false;
         self.consecutive_failures = (self.consecutive_failures + 1).min(MAX_COUNTED_FAILURES);
         let doublings = f64::from(1 << self.consecutive_failures);
-        let backoff = (settings.max_watch_gap * FIRST_BACKOFF_SHARE * doublings).min(MAX_BACKOFF);
+        let backoff = (settings.max_watch_gap * BACKOFF_UNIT_SHARE * doublings).min(MAX_BACKOFF);
         self.retry_at = now + Jitter::EARLY.apply(backoff, rng);
         if self.consecutive_failures == 1 {
             WatchChange::Changed
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -46,11 +46,11 @@
 /// A class of requests, with what its clients expect.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// An answer within this time earns the full weight.
+    /// An answer within this time has the full priority weight.
     pub latency_objective: Span,
     /// The latency objective grows by this multiple of the request's predicted work.
     pub latency_objective_factor: f64,
-    /// How long a client waits in all.
+    /// How long a client waits at most.
     pub deadline: Span,
     /// How long repeats with the same idempotency key are dropped.
     pub deduplication_window: Span,
@@ -58,9 +58,11 @@
     pub idempotency: Idempotency,
     /// Where repeats are dropped.
     pub deduplication_scope: DeduplicationScope,
-    /// Share of the weight that an answer after the latency objective still earns.
+    /// Share of the priority weight that an answer after the latency objective still has; 0 if it is of no
+    /// use.
     pub late_weight: f64,
-    /// Weight of one answer, relative to the other classes.
+    /// Weight of one answer, relative to the other classes: under overload, requests of less weight are
+    /// rejected first.
     pub priority_weight: f64,
     /// How recent the data must be.
     pub consistency: Consistency,
@@ -113,12 +115,12 @@
 
 impl StaleReadHandling {
     /// Whether endpoints themselves reject reads for which their data is too old.
-    pub fn is_checked(self) -> bool {
+    pub fn rejects_stale_reads(self) -> bool {
         self != StaleReadHandling::Serve
     }
 }
 
-/// Everything that a policy is told when it is created.
+/// Everything that a policy needs to know when it is created.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes, by number.
@@ -133,9 +135,10 @@
     pub zone: u32,
     /// Whether the pooler reads the same clock as the endpoints. A machine's own clock may be wrong.
     pub shares_host_clock: bool,
-    /// Shortest time between two batches of events.
+    /// Granularity of time: events may be handled this much late. A request gets its final answer at least
+    /// this long before its deadline.
     pub tick: Span,
-    /// Whether health checks are allowed and their reports tell a log position or a role.
+    /// Whether health checks are allowed and their reports carry a log position or a role.
     pub health_checks: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
--- a/src/time.rs
+++ b/src/time.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClusterInstant(f64);
 
-/// A position in the replication log: the time of the last commit that was applied.
+/// A position in the replication log, given by the time of the last commit that was applied (not by an LSN).
 pub type LogPosition = ClusterInstant;
 
 macro_rules! number_of_seconds {
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -70,7 +70,7 @@
                     self.coverage.abandoned_attempts += usize::from(abandoned);
                 }
             }
-            Event::HealthChecked { .. } | Event::Expired { .. } | Event::Timer { .. } => {}
+            Event::HealthChecked { .. } | Event::ShutdownImminent { .. } | Event::Timer { .. } => {}
         }
     }
 
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -249,7 +249,7 @@
         match (self.random.u32(..100), live) {
             (0..=3, Some(id)) => Event::ClientDisconnected { id },
             (4..=5, Some(id)) if self.has_attempt_in_flight(&id) => Event::ResponseStarted { id },
-            (6, Some(id)) => Event::Expired { id },
+            (6, Some(id)) => Event::ShutdownImminent { id },
             (7..=14, _) => self.hosts.list_update(self.sim.now, &mut self.random),
             _ => self.new_request(),
         }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -264,7 +264,7 @@
     for (id, class) in [("read", EVENTUAL_READ), ("write", NON_IDEMPOTENT_WRITE)] {
         assert_eq!(sent_endpoints(&sim.request(id, class)).len(), 1);
     }
-    let expire = |sim: &mut Simulation, id: &str| sim.handle(Event::Expired { id: id.into() });
+    let expire = |sim: &mut Simulation, id: &str| sim.handle(Event::ShutdownImminent { id: id.into() });
     let read = expire(&mut sim, "read");
     assert!(matches!(&read[..], [Action::Reject { .. }]), "a repeat is harmless: {read:?}");
     let write = expire(&mut sim, "write");
