--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -162,7 +162,7 @@
     // A real discovery service sends nothing that is not requested, whichever mode the settings name.
     settings.watch_endpoints = true;
     // Only the simulator has one clock for all. The clock of a real machine may be wrong.
-    settings.shares_host_clock = false;
+    settings.shares_endpoint_clock = false;
     crate::settings::validate(&settings)?;
     Ok(settings)
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -146,7 +146,7 @@
 }
 
 impl RawSettings {
-    /// How long a database host keeps an idle connection (seconds).
+    /// How long an endpoint keeps an idle connection (seconds).
     pub(super) fn keepalive(&self) -> Result<f64, NotANumber> {
         self.limits.keepalive.or("keepalive", 15.0)
     }
@@ -160,7 +160,7 @@
             over_quota_weight: self.over_share_worth.or("overShareWorth", 1.0)?,
             pooler_count: self.fleet_size.or("fleetSize", 1.0)? as u32,
             zone: self.zone.or("zone", 0.0)? as u32,
-            shares_host_clock: true,
+            shares_endpoint_clock: true,
             tick: span(self.tick, "tick", 0.005)?,
             health_checks: limits.probes && self.load_info.is_useful(),
             cancellation: limits.cancel,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -37,7 +37,7 @@
         (config.classes.as_slice(), config.tenants.len(), config.zones.len()),
         (&["a".into()][..], 0, 0)
     );
-    assert!(config.settings.watch_endpoints && !config.settings.shares_host_clock);
+    assert!(config.settings.watch_endpoints && !config.settings.shares_endpoint_clock);
     assert!(config.cached_list.endpoints.is_empty());
 }
 
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -17,7 +17,7 @@
 /// An endpoint of the endpoint list.
 struct PooledEndpoint {
     address: SocketAddr,
-    /// When it last started (Unix seconds on the clock of the database hosts).
+    /// When it last started (Unix seconds on the clock of the endpoints).
     started_at: f64,
     /// When an update of the endpoint list last contained it, with whatever status.
     last_listed_at: Instant,
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -30,7 +30,7 @@
         let staleness_bounds = settings.classes.iter().filter_map(RequestClass::staleness_bound);
         Cluster {
             shortest_staleness: staleness_bounds.fold(MAX_SHORTEST_STALENESS, Span::min),
-            clock: ClusterClock::new(settings.shares_host_clock),
+            clock: ClusterClock::new(settings.shares_endpoint_clock),
             settings,
             now: LocalInstant::EPOCH,
             endpoints: EndpointTable::default(),
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -108,7 +108,7 @@
     pub(crate) settings: &'a Settings,
     /// The present on the pooler's clock.
     pub(crate) now: LocalInstant,
-    /// The present as it probably is on the clock of the database hosts.
+    /// The present as it probably is on the clock of the endpoints.
     pub(crate) cluster_now: ClusterInstant,
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -134,7 +134,7 @@
     /// The pooler's own zone.
     pub zone: u32,
     /// Whether the pooler reads the same clock as the endpoints. A machine's own clock may be wrong.
-    pub shares_host_clock: bool,
+    pub shares_endpoint_clock: bool,
     /// Granularity of time: events may be handled this much late. A request gets its final answer at least
     /// this long before its deadline.
     pub tick: Span,
@@ -206,7 +206,7 @@
             over_quota_weight: 1.0,
             pooler_count: 1,
             zone: 0,
-            shares_host_clock: true,
+            shares_endpoint_clock: true,
             tick: Span::from_secs(0.005),
             health_checks: false,
             cancellation: true,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! Times of the policy. An instant on the pooler's clock, an instant on the database hosts' clock and a
+//! Times of the policy. An instant on the pooler's clock, an instant on the endpoints' clock and a
 //! span of time are types of their own, so that the compiler rejects a mix-up.
 //!
 //! All of them count seconds in double precision, and are compared as such. None of them is ever NaN: numbers
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalInstant(f64);
 
-/// An instant on the clock of the database hosts (Unix seconds), by which commits and starts are dated.
+/// An instant on the clock of the endpoints (Unix seconds), by which commits and starts are dated.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClusterInstant(f64);
 
@@ -129,19 +129,19 @@
     /// The zero of the clock: before everything that happens.
     pub const EPOCH: LocalInstant = LocalInstant(0.0);
 
-    /// The instant on the database hosts' clock, which is ahead of the pooler's by this offset.
+    /// The instant on the endpoints' clock, which is ahead of the pooler's by this offset.
     pub fn to_cluster(self, offset: Span) -> ClusterInstant {
         ClusterInstant(self.0 + offset.0)
     }
 }
 
 impl ClusterInstant {
-    /// The instant on the pooler's clock, which is behind the database hosts' by this offset.
+    /// The instant on the pooler's clock, which is behind the endpoints' by this offset.
     pub fn to_local(self, offset: Span) -> LocalInstant {
         LocalInstant(self.0 - offset.0)
     }
 
-    /// How far the database hosts' clock is ahead if it shows this instant when the pooler's shows the other.
+    /// How far the endpoints' clock is ahead if it shows this instant when the pooler's shows the other.
     pub fn offset_from(self, local: LocalInstant) -> Span {
         Span(self.0 - local.0)
     }
