--- a/src/adapter/instances.rs
+++ b/src/adapter/instances.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::io::Write;
 
-use pg_pooler::interface::{Action, Endpoint, Event, UpdateKind};
+use pg_pooler::interface::{Action, Endpoint, Event};
 use pg_pooler::time::LocalInstant;
 use pg_pooler::Policy;
 
@@ -93,21 +93,10 @@
         match message {
             InstanceMessage::Event(event) => Ok(event),
             InstanceMessage::EndpointsFromInventory { kind, inventory } => {
-                let endpoints = self.endpoints_of_update(kind, inventory)?;
+                let endpoints = self.inventories.get(&inventory);
+                let endpoints = endpoints.cloned().ok_or(WireError::UnknownInventory(inventory))?;
                 Ok(Event::Endpoints { kind, endpoints })
             }
         }
     }
-
-    /// The endpoints of an update. A failed watch has none, and refers to no inventory.
-    fn endpoints_of_update(
-        &self,
-        kind: UpdateKind,
-        inventory: InventoryId,
-    ) -> Result<Vec<Endpoint>, WireError> {
-        if kind == UpdateKind::WatchFailed {
-            return Ok(Vec::new());
-        }
-        self.inventories.get(&inventory).cloned().ok_or(WireError::UnknownInventory(inventory))
-    }
 }
--- a/src/adapter/wire/decode/endpoints.rs
+++ b/src/adapter/wire/decode/endpoints.rs
@@ -1,10 +1,11 @@
 //! Decodes the endpoints of an inventory, and updates of the endpoint list.
 
-use pg_pooler::interface::{Endpoint, EndpointStatus, Role, UpdateKind};
+use pg_pooler::interface::{Endpoint, EndpointStatus, Role};
 use pg_pooler::time::ClusterInstant;
 use serde_json::Value;
 
 use crate::wire::fields::Fields;
+use crate::wire::names::ListUpdate;
 use crate::wire::{layout, names, InventoryId, WireError};
 
 /// Decodes the entries of an inventory. Fails where one of them is malformed.
@@ -36,13 +37,13 @@
 }
 
 /// Decodes an update of the endpoint list: what it contains, and the inventory that holds its endpoints.
-pub fn decode_update(fields: Fields) -> Result<(UpdateKind, InventoryId), WireError> {
-    let kind = decode_update_kind(fields)?;
+pub fn decode_update(fields: Fields) -> Result<(ListUpdate, InventoryId), WireError> {
+    let update = decode_list_update(fields)?;
     let inventory = fields.integer_or_zero(layout::endpoint_update::INVENTORY)? as InventoryId;
-    Ok((kind, inventory))
+    Ok((update, inventory))
 }
 
-fn decode_update_kind(fields: Fields) -> Result<UpdateKind, WireError> {
+fn decode_list_update(fields: Fields) -> Result<ListUpdate, WireError> {
     let kind = fields.text(layout::endpoint_update::KIND)?;
-    names::update_kind(kind).ok_or_else(|| WireError::UnknownUpdateKind(kind.to_string()))
+    names::list_update(kind).ok_or_else(|| WireError::UnknownUpdateKind(kind.to_string()))
 }
--- a/src/adapter/wire/decode/instance_messages.rs
+++ b/src/adapter/wire/decode/instance_messages.rs
@@ -8,7 +8,7 @@
 
 use super::{endpoints, results, MILLIS_PER_SECOND};
 use crate::wire::fields::Fields;
-use crate::wire::names::{request_option, InstanceMessageName};
+use crate::wire::names::{request_option, InstanceMessageName, ListUpdate};
 use crate::wire::{layout, BaseTime, InstanceId, InventoryId, WireError};
 
 /// A line for one instance. Its times can only be decoded with the base time of that instance.
@@ -40,8 +40,12 @@
         let event = match self.name {
             // The update only refers to an inventory, which this line does not have.
             InstanceMessageName::EndpointsUpdated => {
-                let (kind, inventory) = endpoints::decode_update(fields)?;
-                return Ok(InstanceMessage::EndpointsFromInventory { kind, inventory });
+                return Ok(match endpoints::decode_update(fields)? {
+                    (ListUpdate::WatchFailed, _) => InstanceMessage::Event(Event::WatchFailed),
+                    (ListUpdate::Contents(kind), inventory) => {
+                        InstanceMessage::EndpointsFromInventory { kind, inventory }
+                    }
+                });
             }
             InstanceMessageName::RequestReceived => Event::Request(decode_request(fields)?),
             InstanceMessageName::AttemptFinished => {
--- a/src/adapter/wire/names.rs
+++ b/src/adapter/wire/names.rs
@@ -97,13 +97,22 @@
     })
 }
 
-/// What an update of the endpoint list contains.
-pub fn update_kind(kind: &str) -> Option<UpdateKind> {
+/// An update of the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListUpdate {
+    /// There is none: a call failed or the watch broke.
+    WatchFailed,
+    /// It contains this.
+    Contents(UpdateKind),
+}
+
+/// The update of this kind on the wire, if there is one.
+pub fn list_update(kind: &str) -> Option<ListUpdate> {
     Some(match kind {
-        "INCREMENTAL" => UpdateKind::Delta,
-        "FULL" => UpdateKind::Snapshot,
-        "SAVED" => UpdateKind::Cached,
-        "FAILED" => UpdateKind::WatchFailed,
+        "INCREMENTAL" => ListUpdate::Contents(UpdateKind::Delta),
+        "FULL" => ListUpdate::Contents(UpdateKind::Snapshot),
+        "SAVED" => ListUpdate::Contents(UpdateKind::Cached),
+        "FAILED" => ListUpdate::WatchFailed,
         _ => return None,
     })
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -51,7 +51,9 @@
 /// Something that has happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list was updated, or could not be.
+    /// A call for the endpoint list failed or its watch broke: the list received so far stays in force.
+    WatchFailed,
+    /// The endpoint list was updated.
     Endpoints {
         /// What the update contains.
         kind: UpdateKind,
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -78,8 +78,6 @@
     Snapshot,
     /// The complete list as it was cached before a restart.
     Cached,
-    /// Nothing: a call failed or the watch broke, and the list held so far stays in force.
-    WatchFailed,
 }
 
 /// What an endpoint reported about itself.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -93,7 +93,7 @@
         if self.last_error.replace(error) != Some(error) {
             tracing::warn!(%error, "endpoint watch failed");
         }
-        context.events.push_back(Event::EndpointsUpdated(UpdateKind::WatchFailed, Vec::new()));
+        context.events.push_back(Event::WatchFailed);
     }
 
     /// Handles a watch whose socket can be read from or written to.
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -149,6 +149,8 @@
     CancelRequested(CancelKey),
     /// An attempt or a health check has ended.
     TaskCompleted(Box<Completion>),
-    /// The endpoint list was updated, or its watch has failed.
+    /// The endpoint list was updated.
     EndpointsUpdated(UpdateKind, Vec<ListedEndpoint>),
+    /// The watch of the endpoint list has failed.
+    WatchFailed,
 }
--- a/src/net/pooler/endpoints.rs
+++ b/src/net/pooler/endpoints.rs
@@ -7,19 +7,21 @@
 use crate::time::ClusterInstant;
 
 impl Pooler {
-    /// Takes over an update of the endpoint list, or reports to the policy that the watch has failed.
+    /// Reports to the policy that the watch has failed.
+    pub(super) fn on_watch_failed(&mut self, context: &mut Context) {
+        context.counters.watch_failures += 1;
+        self.notify_policy(interface::Event::WatchFailed, context);
+    }
+
+    /// Takes over an update of the endpoint list.
     pub(super) fn on_endpoints_updated(
         &mut self,
         kind: UpdateKind,
         endpoints: Vec<ListedEndpoint>,
         context: &mut Context,
     ) {
-        if kind == UpdateKind::WatchFailed {
-            context.counters.watch_failures += 1;
-        } else {
-            context.counters.endpoint_updates += 1;
-            self.backend.update_endpoints(kind, &endpoints, context);
-        }
+        context.counters.endpoint_updates += 1;
+        self.backend.update_endpoints(kind, &endpoints, context);
         let any_serving = endpoints.iter().any(|listed| listed.status == EndpointStatus::Serving);
         let endpoints = endpoints.into_iter().map(|listed| self.endpoint(listed)).collect();
         self.notify_policy(interface::Event::Endpoints { kind, endpoints }, context);
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -57,6 +57,7 @@
                 Event::ClientDisconnected(client) => self.on_client_disconnected(client, context),
                 Event::CancelRequested(key) => self.on_cancel_request(key, context),
                 Event::TaskCompleted(completion) => self.on_task_completed(*completion, context),
+                Event::WatchFailed => self.on_watch_failed(context),
                 Event::EndpointsUpdated(kind, endpoints) => {
                     self.on_endpoints_updated(kind, endpoints, context)
                 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -122,7 +122,7 @@
     pub fn handle(&mut self, now: LocalInstant, event: Event, actions: &mut Vec<Action>) {
         self.cluster.advance_to(now);
         match event {
-            Event::Endpoints { kind: UpdateKind::WatchFailed, .. } => self.watch_failed(),
+            Event::WatchFailed => self.watch_failed(),
             Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! Snapshots and deltas of the endpoint list, draining and removed endpoints, and a lost watch.
 
-use pg_pooler::interface::{Action, Endpoint, EndpointStatus, UpdateKind};
+use pg_pooler::interface::{Action, Endpoint, EndpointStatus, Event, UpdateKind};
 use pg_pooler::settings::Settings;
 
 use crate::harness::{
@@ -42,7 +42,7 @@
 fn a_lost_watch_keeps_the_last_list_and_is_renewed() {
     let mut sim = Simulation::new(Settings { watch_endpoints: true, ..default_settings() });
     assert!(sim.advance_time(0.2).contains(&Action::Watch));
-    sim.update_endpoints(UpdateKind::WatchFailed, vec![]);
+    sim.handle(Event::WatchFailed);
     assert_eq!(sent_endpoints(&sim.request("w", KEYED_WRITE)), [PRIMARY]);
     assert!(sim.advance_time(5.0).contains(&Action::Watch));
 }
@@ -59,7 +59,7 @@
         });
         let watches = |actions: &[Action]| actions.iter().filter(|action| **action == Action::Watch).count();
         for _ in 0..10 {
-            sim.update_endpoints(UpdateKind::WatchFailed, Vec::new());
+            sim.handle(Event::WatchFailed);
             assert_eq!(watches(&sim.advance_time(1.2)), 1, "{max_watch_gap}");
         }
         // An unanswered call is given time: an update without entries may take 2 s.
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -70,7 +70,10 @@
                     self.coverage.abandoned_attempts += usize::from(abandoned);
                 }
             }
-            Event::HealthChecked { .. } | Event::ShutdownImminent { .. } | Event::Timer { .. } => {}
+            Event::WatchFailed
+            | Event::HealthChecked { .. }
+            | Event::ShutdownImminent { .. }
+            | Event::Timer { .. } => {}
         }
     }
 
--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -155,9 +155,9 @@
     /// What discovery says next: the status, role, start or group of an endpoint, the whole list, or nothing.
     pub fn list_update(&mut self, now: f64, random: &mut fastrand::Rng) -> Event {
         let kind = match random.u32(..10) {
-            0 => UpdateKind::WatchFailed,
-            1..=2 => UpdateKind::Snapshot,
-            _ => UpdateKind::Delta,
+            0 => None,
+            1..=2 => Some(UpdateKind::Snapshot),
+            _ => Some(UpdateKind::Delta),
         };
         let index = random.usize(..self.0.len());
         let host = &mut self.0[index];
@@ -173,8 +173,8 @@
             _ => {}
         }
         host.entry.role = Role::primary_if(host.is_primary);
+        let Some(kind) = kind else { return Event::WatchFailed };
         let endpoints = match kind {
-            UpdateKind::WatchFailed => Vec::new(),
             UpdateKind::Delta => vec![host.entry.clone()],
             UpdateKind::Snapshot | UpdateKind::Cached => self.listed(),
         };
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -282,7 +282,7 @@
         let mut lines = Vec::new();
         for (now, event, actions) in &self.history {
             let text = format!("{event:?}");
-            if matches!(event, Event::Endpoints { .. }) || text.contains(&quoted) {
+            if matches!(event, Event::Endpoints { .. } | Event::WatchFailed) || text.contains(&quoted) {
                 lines.push(format!("{now:.4} {text}"));
             }
             let relevant = |text: &String| text.contains(&quoted) || text.contains("PrimaryChanged");
