--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -227,13 +227,16 @@
         self.finish_poll(id, result, context);
     }
 
-    /// Stops accepting once the listener's queue is empty, and closes each connection as soon as all its queries
-    /// are answered. Later queries are rejected with this Retry-After, if any.
-    pub fn start_draining(&mut self, retry_after: Option<Duration>, context: &mut Context) {
-        // Connections and queries that have arrived by now are still served.
+    /// Accepts the connections in the listener's queue, then closes the listener. Queries are still served
+    /// until [`start_draining`](Self::start_draining).
+    pub fn stop_accepting(&mut self, context: &mut Context) {
         self.acceptor.start_closing();
         self.accept(context);
-        self.service.start_draining(Drain::new(context.reactor.now(), retry_after));
+    }
+
+    /// Closes each connection once all its queries are answered, and rejects queries as the drain says.
+    pub fn start_draining(&mut self, drain: Drain, context: &mut Context) {
+        self.service.start_draining(drain);
         for id in self.connections.ids() {
             self.ready(id, context);
         }
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -85,18 +85,19 @@
 
     /// Stops accepting connections and closes each open one once its queries are answered.
     fn start_draining(&mut self, context: &mut Context) {
-        let retry_after = self.shutdown.start_draining();
-        self.frontend.start_draining(retry_after, context);
+        self.frontend.stop_accepting(context);
+        let drain = self.shutdown.start_draining(context.reactor.now());
+        self.frontend.start_draining(drain, context);
     }
 
-    /// Ends each request behind which others wait on its connection, since the process may soon be killed.
+    /// Ends each request behind which others wait on its connection: these must be answered before the kill.
     fn end_blocking_requests(&mut self, context: &mut Context) {
         for client in self.frontend.clients_with_waiting_input() {
             if let Some(id) = self.requests.request_of(client) {
                 self.notify_policy(interface::Event::Expired { id }, context);
             }
         }
-        self.shutdown.schedule_next_search(&mut context.reactor);
+        self.shutdown.schedule_search_for_blocking_requests(&mut context.reactor);
     }
 
     /// Gives up the attempt that runs on a connection to an endpoint.
@@ -129,7 +130,7 @@
             TimerEvent::Backend(connection) => self.backend.timer_expired(connection, context),
             TimerEvent::Discovery(watch) => self.discovery.timer_expired(watch, context),
             TimerEvent::GracePeriodOver => self.start_draining(context),
-            TimerEvent::KillImminent => self.end_blocking_requests(context),
+            TimerEvent::EndBlockingRequests => self.end_blocking_requests(context),
             TimerEvent::RetryReload => self.retry_reload(context),
         }
         self.process_events(context);
--- a/src/net/reactor/timers.rs
+++ b/src/net/reactor/timers.rs
@@ -23,8 +23,8 @@
     Discovery(ConnectionId),
     /// The grace period of the shutdown is over.
     GracePeriodOver,
-    /// The process may soon be killed: requests that block others must end.
-    KillImminent,
+    /// The kill is near: requests behind which other queries wait are ended. Repeats until the process ends.
+    EndBlockingRequests,
     /// Reading the configuration is tried again after an error.
     RetryReload,
 }
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -4,28 +4,29 @@
 //!
 //! | Instant | What happens | Function |
 //! | --- | --- | --- |
-//! | 0 | The grace period starts: connections and queries are accepted as before. (1) | [`GracefulShutdown::start`] |
-//! | [`GRACE_PERIOD`] | Draining starts: the connections in the listener's queue are accepted, then it is closed. (2) | [`Frontend::start_draining`] |
+//! | 0 | The grace period starts. (1) | [`GracefulShutdown::start`] |
+//! | [`GRACE_PERIOD`] | Draining starts. (2) | `Pooler::start_draining` |
 //! | while draining | A connection is closed once all its queries are answered. | `Connection::can_close` |
-//! | while draining | A query that is received now is rejected, with [`RETRY_AFTER`] at most. (3) | [`Drain::rejects`] |
-//! | [`KILL_MARGIN`] before the earliest kill, then every [`BLOCKING_REQUEST_INTERVAL`] | Each request behind which other queries of its connection wait gets its final answer. (4) | `Pooler::end_blocking_requests` |
-//! | the longest deadline, at most [`MAX_COUNTED_DEADLINE`], and [`KILL_DELAY`] | The earliest kill. | [`GracefulShutdown::earliest_kill`] |
-//! | the last client connection is closed while draining | The process ends. Attempts that no client waits for are dropped. | `Pooler::is_finished` |
+//! | while draining | A query that is received now is rejected. (3) | [`Drain::rejects`] |
+//! | [`KILL_MARGIN`] before the kill | Blocking requests are ended. (4) | `Pooler::end_blocking_requests` |
+//! | longest deadline + [`KILL_DELAY`] | The earliest kill. (5) | [`GracefulShutdown::earliest_kill`] |
+//! | the last client connection is closed | The process ends. (6) | `Pooler::is_finished` |
 //!
-//! 1. Clients connect and send queries until they learn of the shutdown.
-//! 2. Closing the listener earlier would reset the waiting connections, with the queries sent on them.
+//! 1. Connections and queries are accepted as before, until the clients have learned of the shutdown.
+//! 2. The connections in the listener's queue are accepted, then it is closed. Closing it earlier would reset
+//!    them, with the queries sent on them.
 //! 3. The process may be killed before the query ends. A query that was received earlier is executed.
-//! 4. Those behind it came during the shutdown and must be answered before the kill; it came earlier and need
-//!    not be.
-//!
-//! [`Frontend::start_draining`]: super::frontend::Frontend::start_draining
+//! 4. A request blocks the queries that its client has sent behind it. It gets its final answer early, so
+//!    that those are answered before the kill. Repeated every [`BLOCKING_REQUEST_INTERVAL`].
+//! 5. A sum. Of the longest deadline of all classes, [`MAX_COUNTED_DEADLINE`] at most counts.
+//! 6. Only while draining. Attempts that no client waits for are dropped.
 
 use std::time::{Duration, Instant};
 
 use super::reactor::{Reactor, TimerEvent};
 
-/// How long connections and queries are accepted as before. New connections arrive for up to 0.4 s; a query
-/// that arrives after 0.7 s is lost if it outlives the process.
+/// How long connections and queries are accepted as before. Clients connect for up to 0.4 s after SIGTERM; a
+/// query received more than [`KILL_DELAY`] after it may be lost in the kill, since its deadline may be later.
 const GRACE_PERIOD: Duration = Duration::from_millis(600);
 /// Retry-After of rejected queries, as far as the settings allow it. By then another pooler accepts the
 /// client's connections.
@@ -36,10 +37,10 @@
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Time before the earliest kill in which no query may wait behind another.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// Interval at which queries that wait behind another are looked for in that time.
+/// Interval at which blocking requests are searched for in that time.
 const BLOCKING_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the shutdown has come.
+/// How far the shutdown has come. `Draining` starts when [`GracefulShutdown`] hands out its [`Drain`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// No shutdown was requested.
@@ -50,7 +51,7 @@
     Draining,
 }
 
-/// Decides when each phase of the graceful shutdown starts.
+/// Decides when each phase of the graceful shutdown starts. The pooler owns it and passes [`Drain`] on.
 #[derive(Debug)]
 pub(super) struct GracefulShutdown {
     phase: Phase,
@@ -60,8 +61,8 @@
 }
 
 impl GracefulShutdown {
-    /// Creates the state before a shutdown is requested. `longest_deadline` is that of all classes of requests,
-    /// and `max_retry_after` the longest Retry-After that the settings allow; none without such advice.
+    /// Creates the state before a shutdown is requested. `longest_deadline` is that of all classes,
+    /// `max_retry_after` the longest Retry-After that the settings allow; none without such advice.
     pub fn new(longest_deadline: Duration, max_retry_after: Option<Duration>) -> GracefulShutdown {
         let retry_after = max_retry_after.map(|longest| longest.min(RETRY_AFTER));
         GracefulShutdown { phase: Phase::Running, longest_deadline, retry_after }
@@ -76,7 +77,7 @@
         tracing::info!("graceful shutdown started");
         let now = reactor.now();
         reactor.set_timer(now + GRACE_PERIOD, TimerEvent::GracePeriodOver);
-        reactor.set_timer(self.earliest_kill(now) - KILL_MARGIN, TimerEvent::KillImminent);
+        reactor.set_timer(self.earliest_kill(now) - KILL_MARGIN, TimerEvent::EndBlockingRequests);
     }
 
     /// Returns when a process that was asked to end at `requested_at` may be killed.
@@ -84,11 +85,10 @@
         requested_at + self.longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY
     }
 
-    /// Starts to drain the client connections. Returns the Retry-After of queries that are rejected from now
-    /// on; none for no advice.
-    pub fn start_draining(&mut self) -> Option<Duration> {
+    /// Starts the phase `Draining` at `now`, and returns what holds for client connections from then on.
+    pub fn start_draining(&mut self, now: Instant) -> Drain {
         self.phase = Phase::Draining;
-        self.retry_after
+        Drain { started_at: now, retry_after: self.retry_after }
     }
 
     /// Returns whether the process ends once no client is connected.
@@ -96,13 +96,13 @@
         self.phase == Phase::Draining
     }
 
-    /// Has the requests that block others looked for again after an interval.
-    pub fn schedule_next_search(&self, reactor: &mut Reactor) {
-        reactor.set_timer(reactor.now() + BLOCKING_REQUEST_INTERVAL, TimerEvent::KillImminent);
+    /// Has the blocking requests searched for again after an interval.
+    pub fn schedule_search_for_blocking_requests(&self, reactor: &mut Reactor) {
+        reactor.set_timer(reactor.now() + BLOCKING_REQUEST_INTERVAL, TimerEvent::EndBlockingRequests);
     }
 }
 
-/// What holds for the queries of clients while their connections are drained.
+/// What the phase `Draining` means for queries: which are rejected, and with which Retry-After.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     started_at: Instant,
@@ -111,13 +111,8 @@
 }
 
 impl Drain {
-    /// Draining that starts at an instant. `retry_after` is that of rejected queries; none for no advice.
-    pub fn new(started_at: Instant, retry_after: Option<Duration>) -> Drain {
-        Drain { started_at, retry_after }
-    }
-
     /// Returns whether a query that was received at this instant is rejected: the process may end before the
-    /// query does, and another pooler has all the time for it.
+    /// query does, and another pooler can execute it.
     pub fn rejects(&self, received_at: Instant) -> bool {
         received_at > self.started_at
     }
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -5,8 +5,8 @@
 
 const LONGEST_DEADLINE: Duration = Duration::from_secs(8);
 
-fn draining_with(max_retry_after: Option<Duration>) -> Option<Duration> {
-    GracefulShutdown::new(LONGEST_DEADLINE, max_retry_after).start_draining()
+fn draining_with(max_retry_after: Option<Duration>) -> Drain {
+    GracefulShutdown::new(LONGEST_DEADLINE, max_retry_after).start_draining(Instant::now())
 }
 
 #[test]
@@ -17,7 +17,7 @@
     assert!(!shutdown.is_draining());
     shutdown.start(&mut reactor);
     assert!(!shutdown.is_draining(), "the grace period has just started");
-    shutdown.start_draining();
+    shutdown.start_draining(Instant::now());
     shutdown.start(&mut reactor);
     assert!(shutdown.is_draining(), "a second signal changes nothing");
 }
@@ -37,13 +37,13 @@
 #[case::shorter(Some(Duration::from_millis(20)), Some(Duration::from_millis(20)))]
 #[case::longer(Some(Duration::from_secs(1)), Some(RETRY_AFTER))]
 fn the_settings_limit_the_retry_after(#[case] longest: Option<Duration>, #[case] expected: Option<Duration>) {
-    assert_eq!(draining_with(longest), expected);
+    assert_eq!(draining_with(longest).retry_after(), expected);
 }
 
 #[test]
 fn only_queries_received_after_the_start_of_draining_are_rejected() {
     let started_at = Instant::now();
-    let drain = Drain::new(started_at, None);
+    let drain = GracefulShutdown::new(LONGEST_DEADLINE, None).start_draining(started_at);
     assert!(!drain.rejects(started_at));
     assert!(drain.rejects(started_at + Duration::from_nanos(1)));
 }
