--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -30,7 +30,8 @@
     Pending,
     /// Its reply has ended and the connection can carry the next exchange.
     Done,
-    /// It has this outcome and the connection must be closed.
+    /// It has this outcome and the connection must be closed; also where the pooler cancels the exchange, since
+    /// the rest of its reply is not read.
     Failed(Outcome),
     /// It has this outcome because the peer sent data that belongs to no valid reply. The connection must be
     /// closed.
@@ -50,6 +51,8 @@
     /// The address of the endpoint when the connection was opened.
     address: SocketAddr,
     stream: TcpStream,
+    /// How long it may take to become ready for a query, and a reply to end once it has begun.
+    connect_timeout: Duration,
     /// When the present state has lasted too long.
     state_deadline: Instant,
     state: State,
@@ -73,6 +76,7 @@
             endpoint,
             address,
             stream,
+            connect_timeout,
             state_deadline: (exchange.started_at() + connect_timeout).min(exchange.deadline()),
             state: State::Connecting(exchange),
             input: RingBuffer::new(budget),
@@ -134,9 +138,9 @@
     }
 
     /// Starts an exchange on an idle connection.
-    pub fn start(&mut self, exchange: Exchange, now: Instant, response_timeout: Duration) -> Progress {
+    pub fn start(&mut self, exchange: Exchange, now: Instant) -> Progress {
         match self.send_query(exchange, now) {
-            Progress::Pending => self.poll(now, response_timeout),
+            Progress::Pending => self.poll(now),
             progress => progress,
         }
     }
@@ -156,22 +160,22 @@
     }
 
     /// Reads, processes and writes as far as possible without blocking. Once a reply has begun, the rest of
-    /// it is due within `response_timeout`: a reply may announce more data than its sender ever sends.
-    pub fn poll(&mut self, now: Instant, response_timeout: Duration) -> Progress {
+    /// it is due within the connect timeout: a reply may announce more data than its sender ever sends.
+    pub fn poll(&mut self, now: Instant) -> Progress {
         let progress = self.advance(now);
         let has_unread_input = self.has_unread_input();
         if let State::Busy { reply, response_started, .. } = &mut self.state {
             if !*response_started && (reply.has_started() || has_unread_input) {
                 *response_started = true;
-                self.state_deadline = self.state_deadline.min(now + response_timeout);
+                self.state_deadline = self.state_deadline.min(now + self.connect_timeout);
             }
         }
         progress
     }
 
     /// Ends the exchange because the present state has lasted too long.
-    pub fn expire(&mut self, now: Instant, connect_timeout: Duration) -> Progress {
-        match self.state.expiry(now, connect_timeout, self.write_status()) {
+    pub fn expire(&mut self, now: Instant) -> Progress {
+        match self.state.expiry(now, self.connect_timeout, self.write_status()) {
             Expiry::ReplyStalled => self.reject_malformed(),
             Expiry::Failed(outcome) => Progress::Failed(outcome),
         }
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -93,7 +93,7 @@
         let exchange = Exchange::new(task, now, timeout);
         if let Some(id) = self.pool.take_idle(endpoint) {
             if let Some(connection) = self.pool.get_mut(id) {
-                let progress = connection.start(exchange, now, self.connect_timeout);
+                let progress = connection.start(exchange, now);
                 context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
                 self.handle_progress(id, progress, context);
                 return Some(id);
@@ -148,7 +148,7 @@
         let now = context.reactor.now();
         let Some(connection) = self.pool.get_mut(id) else { return };
         let previous_deadline = connection.state_deadline();
-        let progress = connection.poll(now, self.connect_timeout);
+        let progress = connection.poll(now);
         if connection.state_deadline() != previous_deadline {
             context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
         }
@@ -168,7 +168,7 @@
             return;
         }
         let Some(connection) = self.pool.get_mut(id) else { return };
-        let progress = connection.expire(now, self.connect_timeout);
+        let progress = connection.expire(now);
         self.handle_progress(id, progress, context);
     }
 
@@ -177,7 +177,7 @@
         self.pool.get_mut(id).is_some_and(|connection| connection.state_deadline() <= now)
     }
 
-    /// Cancels the task on a connection. The endpoint learns of it when the connection is closed.
+    /// Cancels the task on a connection by closing it, as after a failure; the endpoint sees only that.
     pub fn cancel(&mut self, id: ConnectionId, context: &mut Context) {
         self.handle_progress(id, Progress::Failed(Outcome::Cancelled), context);
     }
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -20,7 +20,7 @@
         exchange: Exchange,
         /// What has been received of the reply.
         reply: Reply,
-        /// Whether the reply has begun, so that the response timeout has been applied.
+        /// Whether the reply has begun, so that the connect timeout applies to the rest of it.
         response_started: bool,
     },
 }
