--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -84,8 +84,8 @@
     pub idle_closed: u64,
     /// Queries that were answered with a value.
     pub served: u64,
-    /// Queries that were answered with a rejection; they were not executed. Includes those rejected for lack
-    /// of memory or during a shutdown, which are not in [`requests_received`](Self::requests_received).
+    /// Queries that were answered with a rejection: a retry by the client is harmless. Includes those rejected
+    /// for lack of memory or in a shutdown, which are not in [`requests_received`](Self::requests_received).
     pub rejected: u64,
     /// Queries that were answered with a failure; they may have been executed.
     pub failed: u64,
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -77,7 +77,7 @@
 pub(crate) enum Response {
     /// The value, in the form in which the endpoint sent it.
     Value(Vec<u8>),
-    /// The query was not executed; a retry is harmless.
+    /// A retry by the client is harmless: the query was not executed, or it is idempotent.
     Rejected {
         /// How long the client should wait before it retries; none for no advice.
         retry_after: Option<Duration>,
