--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use super::*;
-use crate::net::messages::{Attempt, Statement, Task};
+use crate::net::messages::{AttemptTask, Statement, Task};
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -17,7 +17,7 @@
 fn long_read(started_at: Instant) -> Exchange {
     let text = format!("/* d=5000 */ SELECT '{}'", "x".repeat(STATEMENT_LENGTH)).into_boxed_str();
     let statement = Statement { text, timeout: 5..9, memory: None };
-    let attempt = Attempt { request: "1".into(), number: 0, statement: Rc::new(statement) };
+    let attempt = AttemptTask { request: "1".into(), number: 0, statement: Rc::new(statement) };
     Exchange::new(Task::Attempt(attempt), started_at, TIMEOUT)
 }
 
--- a/src/net/backend/reply/tests.rs
+++ b/src/net/backend/reply/tests.rs
@@ -4,11 +4,11 @@
 
 use super::*;
 use crate::net::buffer::MemoryBudget;
-use crate::net::{Attempt, Statement};
+use crate::net::{AttemptTask, Statement};
 
 fn attempt() -> Task {
     let statement = Statement { text: "SELECT".into(), timeout: 0..0, memory: None };
-    Task::Attempt(Attempt { request: "1".into(), number: 0, statement: Rc::new(statement) })
+    Task::Attempt(AttemptTask { request: "1".into(), number: 0, statement: Rc::new(statement) })
 }
 
 /// Adds one message of each kind, given by its first byte, to a reply.
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -22,12 +22,12 @@
 use crate::json;
 use error::WatchError;
 use list_splitter::Update;
-use watch::{Watch, WatchTimeouts};
+use watch::{WatchConnection, WatchTimeouts};
 
 /// Keeps at most one watch on the endpoint list, and the version of the list that was last received.
 pub(crate) struct Discovery {
     address: SocketAddr,
-    watches: ConnectionTable<Watch>,
+    watches: ConnectionTable<WatchConnection>,
     current_watch: Option<ConnectionId>,
     budget: MemoryBudget,
     /// The version of the list that was last received.
@@ -73,7 +73,7 @@
             None => WatchTimeouts::regular(),
             Some(_) => WatchTimeouts::after_failure(),
         };
-        let id = self.watches.insert(Watch::new(stream, &self.budget, timeouts, now));
+        let id = self.watches.insert(WatchConnection::new(stream, &self.budget, timeouts, now));
         self.current_watch = Some(id);
         let watch = self.watches.get_mut(id).ok_or(WatchError::NotConnected)?;
         watch.request_changes(self.list_version, self.address).map_err(|_| WatchError::NotConnected)?;
@@ -135,7 +135,7 @@
 
     /// Marks the watch as answered, and returns whether it was already.
     fn mark_answered(&mut self, id: ConnectionId) -> bool {
-        self.watches.get_mut(id).is_none_or(Watch::mark_answered)
+        self.watches.get_mut(id).is_none_or(WatchConnection::mark_answered)
     }
 
     /// Closes the watch if nothing was received for too long. The connection may be cut off and look open.
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -53,7 +53,7 @@
 }
 
 /// The connection of a watch.
-pub(super) struct Watch {
+pub(super) struct WatchConnection {
     stream: TcpStream,
     input: RingBuffer,
     output: RingBuffer,
@@ -68,10 +68,15 @@
     timeouts: WatchTimeouts,
 }
 
-impl Watch {
+impl WatchConnection {
     /// A watch whose request has not been sent yet.
-    pub fn new(stream: TcpStream, budget: &MemoryBudget, timeouts: WatchTimeouts, now: Instant) -> Watch {
-        Watch {
+    pub fn new(
+        stream: TcpStream,
+        budget: &MemoryBudget,
+        timeouts: WatchTimeouts,
+        now: Instant,
+    ) -> WatchConnection {
+        WatchConnection {
             stream,
             input: RingBuffer::new(budget),
             output: RingBuffer::new(budget),
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -15,9 +15,8 @@
 use super::session::{MessageStatus, Session};
 use super::socket::ClientSocket;
 use crate::net::buffer::{MemoryBudget, ReadStatus};
-use crate::net::postgres::CancelKey;
 use crate::net::reactor::{ConnectionId, TimerEvent};
-use crate::net::{Context, Response};
+use crate::net::{CancelKey, Context, Response};
 
 /// Most messages of one connection that are processed in one poll. Keeps a client that sends without pause
 /// from blocking the event loop.
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -37,10 +37,9 @@
 use mio::net::{TcpListener, TcpStream};
 
 use super::buffer::MemoryBudget;
-use super::postgres::CancelKey;
 use super::reactor::{ConnectionId, TimerEvent};
 use super::shutdown::Drain;
-use super::{Context, Event, Response};
+use super::{CancelKey, Context, Event, Response};
 use crate::counters::Counters;
 use acceptor::{AcceptStatus, Acceptor};
 use connection::Connection;
--- a/src/net/frontend/output.rs
+++ b/src/net/frontend/output.rs
@@ -5,8 +5,8 @@
 
 use super::error::ConnectionClosed;
 use crate::net::buffer::{MemoryBudget, RingBuffer};
-use crate::net::postgres::{self, sqlstate, CancelKey, Severity};
-use crate::net::Response;
+use crate::net::postgres::{self, sqlstate, Severity};
+use crate::net::{CancelKey, Response};
 
 const NANOS_PER_MILLISECOND: u128 = 1_000_000;
 
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -15,8 +15,8 @@
 use super::protocol_state::{Phase, ProtocolState};
 use crate::counters::Counters;
 use crate::net::buffer::{MemoryBudget, ReadStatus};
-use crate::net::postgres::{sqlstate, CancelKey, Startup};
-use crate::net::{Context, Event, Response};
+use crate::net::postgres::{sqlstate, Startup};
+use crate::net::{CancelKey, Context, Event, Response};
 pub(super) use messages::MessageStatus;
 
 /// A client's session.
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -5,12 +5,20 @@
 use std::time::{Duration, Instant};
 
 use super::buffer::MemoryReservation;
-use super::postgres::CancelKey;
 use super::reactor::ConnectionId;
 use crate::endpoint_list::ListedEndpoint;
 use crate::interface::{EndpointId, LoadReport, Outcome, RequestId, Role, UpdateKind};
 use crate::time::{ClusterInstant, LogPosition};
 
+/// What a client receives when its session starts, and repeats to cancel its query.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct CancelKey {
+    /// The process that serves the session in PostgreSQL. The pooler draws a random number.
+    pub process_id: u32,
+    /// A random number.
+    pub secret: u32,
+}
+
 /// A statement as the client wrote it.
 #[derive(Debug)]
 pub(crate) struct Statement {
@@ -77,7 +85,7 @@
 pub(crate) enum Response {
     /// The value, in the form in which the endpoint sent it.
     Value(Vec<u8>),
-    /// A retry by the client is harmless: the query was not executed, or it is idempotent.
+    /// A retry by the client is harmless: the query was not executed, or a second execution has no effect.
     Rejected {
         /// How long the client should wait before it retries; none for no advice.
         retry_after: Option<Duration>,
@@ -90,9 +98,9 @@
     Invalid(InvalidQuery),
 }
 
-/// One attempt to have a request executed.
+/// An attempt of a request, as it is handed to the backend.
 #[derive(Clone, Debug)]
-pub(crate) struct Attempt {
+pub(crate) struct AttemptTask {
     /// The request.
     pub request: RequestId,
     /// The number of the attempt among those of its request, from 0.
@@ -105,7 +113,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Task {
     /// An attempt of a request.
-    Attempt(Attempt),
+    Attempt(AttemptTask),
     /// A health check of the endpoint.
     HealthCheck,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -24,7 +24,7 @@
 use std::collections::VecDeque;
 
 use crate::counters::Counters;
-use messages::{Attempt, Completion, Event, Query, Response, Statement, Task};
+use messages::{AttemptTask, CancelKey, Completion, Event, Query, Response, Statement, Task};
 pub(crate) use pooler::{serve, ServeError};
 use reactor::Reactor;
 
--- a/src/net/pooler/request_table/mod.rs
+++ b/src/net/pooler/active_requests/mod.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::interface::RequestId;
-use crate::net::messages::{Attempt, Statement};
+use crate::net::messages::{AttemptTask, Statement};
 use crate::net::reactor::ConnectionId;
 
 /// An attempt that was sent and has not ended yet.
@@ -56,13 +56,13 @@
 /// All requests in progress, by their identifier and by the client that waits for them. A request stays until
 /// its client has its answer or has disconnected, and no attempt of it is in flight.
 #[derive(Debug, Default)]
-pub(super) struct RequestTable {
+pub(super) struct ActiveRequests {
     requests: HashMap<RequestId, ForwardedRequest>,
     /// The request that each busy client waits for.
     by_client: HashMap<ConnectionId, RequestId>,
 }
 
-impl RequestTable {
+impl ActiveRequests {
     /// Whether a request of this identifier is in progress.
     pub fn contains(&self, id: &str) -> bool {
         self.requests.contains_key(id)
@@ -81,11 +81,11 @@
     }
 
     /// Numbers the next attempt of a request; none where the request is not in progress.
-    pub fn start_attempt(&mut self, id: RequestId) -> Option<Attempt> {
+    pub fn start_attempt(&mut self, id: RequestId) -> Option<AttemptTask> {
         let request = self.requests.get_mut(&id)?;
         let number = request.attempts;
         request.attempts += 1;
-        Some(Attempt { request: id, number, statement: request.statement.clone() })
+        Some(AttemptTask { request: id, number, statement: request.statement.clone() })
     }
 
     /// Records that an attempt was sent, and on which connection.
--- a/src/net/pooler/request_table/tests.rs
+++ b/src/net/pooler/active_requests/tests.rs
@@ -1,6 +1,6 @@
 //! The life of a request in the table.
 
-use super::{AbandonedRequest, ClientState, RequestTable};
+use super::{AbandonedRequest, ActiveRequests, ClientState};
 use crate::interface::RequestId;
 use crate::net::messages::Statement;
 use crate::net::reactor::{ConnectionId, ConnectionTable};
@@ -18,14 +18,14 @@
 }
 
 /// A table with one request that `client` waits for.
-fn table_with_request(client: ConnectionId) -> RequestTable {
-    let mut table = RequestTable::default();
+fn table_with_request(client: ConnectionId) -> ActiveRequests {
+    let mut table = ActiveRequests::default();
     table.insert(RequestId::from(ID), client, statement());
     table
 }
 
 /// Starts an attempt that runs on `connection`, and returns its number.
-fn send_attempt(table: &mut RequestTable, connection: Option<ConnectionId>) -> usize {
+fn send_attempt(table: &mut ActiveRequests, connection: Option<ConnectionId>) -> usize {
     let attempt = table.start_attempt(ID.into()).expect("the request is in progress");
     table.attempt_sent(ID, attempt.number, connection);
     attempt.number
@@ -34,7 +34,7 @@
 #[test]
 fn an_unknown_request_has_no_attempts_and_no_client() {
     let [client] = connections();
-    let mut table = RequestTable::default();
+    let mut table = ActiveRequests::default();
     assert!(!table.contains(ID));
     assert!(table.start_attempt(ID.into()).is_none());
     assert_eq!(table.attempt_finished(ID, 0), None);
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -1,11 +1,11 @@
 //! Handles the ends of attempts and health checks.
 
-use super::request_table::ClientState;
+use super::active_requests::ClientState;
 use super::Pooler;
 use crate::interface::{self, AttemptResult, Outcome};
 use crate::net::messages::InvalidQuery;
 use crate::net::reactor::span_of;
-use crate::net::{Attempt, Completion, Context, Response, Task};
+use crate::net::{AttemptTask, Completion, Context, Response, Task};
 
 impl Pooler {
     /// Reports the end of a task to the policy and answers the client if the end decides its request.
@@ -22,8 +22,8 @@
         self.notify_policy(interface::Event::HealthChecked { endpoint, outcome, report }, context);
     }
 
-    fn on_attempt_completed(&mut self, attempt: Attempt, completion: Completion, context: &mut Context) {
-        let Attempt { request: id, number, .. } = attempt;
+    fn on_attempt_completed(&mut self, attempt: AttemptTask, completion: Completion, context: &mut Context) {
+        let AttemptTask { request: id, number, .. } = attempt;
         let outcome = completion.outcome;
         context.counters.attempt_outcomes.record(outcome);
         let Some(client) = self.requests.attempt_finished(&id, number) else { return };
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -3,11 +3,11 @@
 //! process force.
 
 mod actions;
+mod active_requests;
 mod completions;
 mod endpoints;
 mod queries;
 mod reload;
-mod request_table;
 mod signals;
 mod startup;
 
@@ -23,9 +23,9 @@
 use super::{Context, Event, Response};
 use crate::interface::{self, Action};
 use crate::Policy;
+use active_requests::ActiveRequests;
 use queries::QueryTranslator;
 use reload::ConfigReload;
-use request_table::RequestTable;
 pub(crate) use startup::{serve, ServeError};
 
 /// The pooler: the policy and the connections that it decides about.
@@ -35,7 +35,7 @@
     backend: Backend,
     discovery: Discovery,
     signals: Signals,
-    requests: RequestTable,
+    requests: ActiveRequests,
     queries: QueryTranslator,
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -6,9 +6,8 @@
 use crate::config::Config;
 use crate::interface::{self, Request, RequestId};
 use crate::net::messages::InvalidQuery;
-use crate::net::postgres::CancelKey;
 use crate::net::reactor::{span_of, ConnectionId, Reactor};
-use crate::net::{Context, Query, Response};
+use crate::net::{CancelKey, Context, Query, Response};
 use crate::settings::{Consistency, Idempotency};
 use crate::time::Span;
 
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -9,9 +9,9 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
 
+use super::active_requests::ActiveRequests;
 use super::queries::QueryTranslator;
 use super::reload::ConfigReload;
-use super::request_table::RequestTable;
 use super::Pooler;
 use crate::config::Config;
 use crate::counters::Counters;
@@ -121,7 +121,7 @@
             backend: Backend::new(limits.backend, budget.clone(), keepalive, connect_timeout),
             discovery: Discovery::new(config.discovery, config.cached_list.index, budget),
             signals,
-            requests: RequestTable::default(),
+            requests: ActiveRequests::default(),
             queries: QueryTranslator::new(config),
             zones: config.zones.clone(),
             health_check_timeout: connect_timeout,
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -6,6 +6,7 @@
 use super::message_kind::BackendMessageKind;
 use super::strings::{push_string, TERMINATOR};
 use crate::net::buffer::RingBuffer;
+use crate::net::CancelKey;
 
 /// The words of a startup packet (bytes). They are its length, its request code and those of a cancel key.
 const WORD_SIZE: usize = 4;
@@ -45,15 +46,6 @@
     ParameterStatus { name: "standard_conforming_strings", value: "on" },
 ];
 
-/// What a client receives when its session starts, and repeats to cancel its query.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct CancelKey {
-    /// The process that serves the session in PostgreSQL. The pooler draws a random number.
-    pub process_id: u32,
-    /// A random number.
-    pub secret: u32,
-}
-
 /// The request in the first packet of a client.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Startup {
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -3,6 +3,7 @@
 use rstest::rstest;
 
 use super::*;
+use crate::net::CancelKey;
 
 const VERSION_3_0: u32 = 196_608;
 const CANCEL: u32 = 80_877_102;
