--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -6,8 +6,9 @@
 
 use serde::Deserialize;
 
-use crate::interface::{EndpointId, EndpointStatus};
+use crate::interface::{EndpointId, EndpointStatus, Role};
 use crate::json::lenient;
+use crate::time::ClusterInstant;
 
 /// Stands for the address of a removed endpoint that has none any more.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
@@ -44,10 +45,10 @@
     pub group: u32,
     /// Whether it takes requests.
     pub status: EndpointStatus,
-    /// When it last started (Unix seconds); 0 where the list does not say, which means long ago.
-    pub started_at: f64,
-    /// Whether the list names it as its group's primary.
-    pub primary: bool,
+    /// When it last started; `None` for long ago, which the list says with 0 or not at all.
+    pub started_at: Option<ClusterInstant>,
+    /// The role that the list gives it.
+    pub role: Role,
 }
 
 /// Why an endpoint list cannot be used at all.
@@ -120,8 +121,8 @@
             zone: self.zone?,
             group: self.group? as u32,
             status,
-            started_at: self.started_at_millis.unwrap_or(0.0) / MILLIS_PER_SECOND,
-            primary: self.access.as_deref() == Some(PRIMARY_ACCESS),
+            started_at: self.started_at_millis.and_then(decode_started_at),
+            role: Role::primary_if(self.access.as_deref() == Some(PRIMARY_ACCESS)),
         })
     }
 }
@@ -135,6 +136,12 @@
     })
 }
 
+/// Decodes a start time (Unix milliseconds). Returns `None` for 0.
+fn decode_started_at(millis: f64) -> Option<ClusterInstant> {
+    let seconds = millis / MILLIS_PER_SECOND;
+    (seconds != 0.0).then_some(ClusterInstant::from_secs(seconds))
+}
+
 /// Decodes an address. A removed endpoint may have none: its removal has to be known all the same.
 fn decode_address(text: Option<&str>, status: EndpointStatus) -> Option<SocketAddr> {
     let address = text.and_then(|text| text.parse().ok());
--- a/src/endpoint_list/tests.rs
+++ b/src/endpoint_list/tests.rs
@@ -30,7 +30,7 @@
     let endpoint = &list.endpoints[0];
     assert_eq!((&*endpoint.name, endpoint.zone.as_str(), endpoint.group), ("s-1", "zone-a", 2));
     assert_eq!((endpoint.address, endpoint.status), (([10, 0, 0, 1], 5).into(), EndpointStatus::Serving));
-    assert_eq!((endpoint.started_at, endpoint.primary), (0.0, false));
+    assert_eq!((endpoint.started_at, endpoint.role), (None, Role::Replica));
 }
 
 #[rstest]
@@ -84,16 +84,19 @@
 }
 
 #[rstest]
-#[case::milliseconds(json!(1500), 1.5)]
-#[case::a_wrong_type(json!("1500"), 0.0)]
-fn the_start_time_is_decoded(#[case] since_ms: Value, #[case] expected: f64) {
-    assert_eq!(decode_entry(entry_with("since_ms", since_ms)).unwrap().started_at, expected);
+#[case::milliseconds(json!(1500), Some(1.5))]
+#[case::zero(json!(0), None)]
+#[case::before_1970(json!(-1500), Some(-1.5))]
+#[case::a_wrong_type(json!("1500"), None)]
+fn the_start_time_is_decoded(#[case] since_ms: Value, #[case] expected: Option<f64>) {
+    let started_at = decode_entry(entry_with("since_ms", since_ms)).unwrap().started_at;
+    assert_eq!(started_at.map(ClusterInstant::as_secs), expected);
 }
 
 #[rstest]
-#[case::writer(json!("writer"), true)]
-#[case::reader(json!("reader"), false)]
-#[case::a_wrong_type(json!(true), false)]
-fn the_primary_is_the_writer(#[case] access: Value, #[case] expected: bool) {
-    assert_eq!(decode_entry(entry_with("access", access)).unwrap().primary, expected);
+#[case::writer(json!("writer"), Role::Primary)]
+#[case::reader(json!("reader"), Role::Replica)]
+#[case::a_wrong_type(json!(true), Role::Replica)]
+fn the_primary_is_the_writer(#[case] access: Value, #[case] expected: Role) {
+    assert_eq!(decode_entry(entry_with("access", access)).unwrap().role, expected);
 }
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -8,6 +8,7 @@
 use crate::endpoint_list::ListedEndpoint;
 use crate::interface::{EndpointId, EndpointStatus, UpdateKind};
 use crate::net::reactor::{ConnectionId, ConnectionTable};
+use crate::time::ClusterInstant;
 
 /// The most idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 48;
@@ -17,8 +18,8 @@
 /// An endpoint of the endpoint list.
 struct PooledEndpoint {
     address: SocketAddr,
-    /// When it last started (Unix seconds on the clock of the database hosts).
-    started_at: f64,
+    /// When it last started; `None` for long ago.
+    started_at: Option<ClusterInstant>,
     /// When an update of the endpoint list last contained it, with whatever status.
     last_listed_at: Instant,
     /// Whether it has left the endpoint list.
--- a/src/net/pooler/endpoints.rs
+++ b/src/net/pooler/endpoints.rs
@@ -2,9 +2,8 @@
 
 use super::Pooler;
 use crate::endpoint_list::ListedEndpoint;
-use crate::interface::{self, Endpoint, EndpointStatus, Role, UpdateKind};
+use crate::interface::{self, Endpoint, EndpointStatus, UpdateKind};
 use crate::net::Context;
-use crate::time::ClusterInstant;
 
 impl Pooler {
     /// Takes over an update of the endpoint list, or reports to the policy that the watch has failed.
@@ -30,9 +29,9 @@
 
     /// The entry in the form that the policy takes.
     fn endpoint(&self, listed: ListedEndpoint) -> Endpoint {
-        let ListedEndpoint { name, zone, group, status, started_at, primary, .. } = listed;
-        let started_at = Some(started_at).filter(|at| *at > 0.0).map(ClusterInstant::from_secs);
-        let role = Role::primary_if(primary);
+        let ListedEndpoint { name, zone, group, status, started_at, role, .. } = listed;
+        // A start before 1970 was long ago for the policy; the pool compares it like any other.
+        let started_at = started_at.filter(|at| at.as_secs() > 0.0);
         Endpoint { id: name, zone: self.zone(&zone), group, status, started_at, role }
     }
 
