--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -9,9 +9,9 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use signal_hook_mio::v1_0::Signals;
 
+use super::active_requests::ActiveRequests;
 use super::queries::QueryTranslator;
 use super::reload::ConfigReload;
-use super::request_table::RequestTable;
 use super::Pooler;
 use crate::config::Config;
 use crate::counters::Counters;
@@ -112,6 +112,7 @@
         let connect_timeout = duration_of(settings.connect_timeout);
         let max_retry_after = settings.send_retry_after.then(|| duration_of(settings.max_retry_after));
         let keepalive = duration_of(Span::from_secs(config.keepalive));
+        // Cancel keys must not follow the policy's random numbers, which are drawn with the seed itself.
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
         let mut pooler = Pooler {
@@ -120,7 +121,7 @@
             backend: Backend::new(limits.backend, budget.clone(), keepalive, connect_timeout),
             discovery: Discovery::new(config.discovery, config.cached_list.index, budget),
             signals,
-            requests: RequestTable::default(),
+            requests: ActiveRequests::default(),
             queries: QueryTranslator::new(config),
             zones: config.zones.clone(),
             health_check_timeout: connect_timeout,
