--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -140,7 +140,7 @@
     /// Starts an exchange on an idle connection.
     pub fn start(&mut self, exchange: Exchange, now: Instant) -> Progress {
         match self.send_query(exchange, now) {
-            Progress::Pending => self.poll(now),
+            Progress::Pending => self.run_cycle(now),
             progress => progress,
         }
     }
@@ -161,7 +161,7 @@
 
     /// Reads, processes and writes as far as possible without blocking. Once a reply has begun, the rest of
     /// it is due within the connect timeout: a reply may announce more data than its sender ever sends.
-    pub fn poll(&mut self, now: Instant) -> Progress {
+    pub fn run_cycle(&mut self, now: Instant) -> Progress {
         let progress = self.advance(now);
         let has_unread_input = self.has_unread_input();
         if let State::Busy { reply, response_started, .. } = &mut self.state {
--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -33,13 +33,13 @@
         Connection::new("db-1".into(), address, stream, long_read(started_at), CONNECT_TIMEOUT, &budget);
     let (mut endpoint, _) = listener.accept().unwrap();
     while !connection.state.is_starting() {
-        assert_eq!(connection.poll(started_at), Progress::Pending);
+        assert_eq!(connection.run_cycle(started_at), Progress::Pending);
     }
     let startup_length = postgres::startup_message(USER, DATABASE).len();
     endpoint.read_exact(&mut vec![0; startup_length]).unwrap();
     endpoint.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").unwrap();
     while connection.state.is_starting() {
-        assert_eq!(connection.poll(started_at), Progress::Pending);
+        assert_eq!(connection.run_cycle(started_at), Progress::Pending);
     }
     assert!(!connection.has_empty_buffers(), "the query does not fit into the socket");
     (connection, endpoint)
@@ -62,7 +62,7 @@
     let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     let late = started_at + 2 * DEADLINE_SLACK;
-    assert_eq!(connection.poll(late), Progress::Failed(Outcome::ConnectFailed));
+    assert_eq!(connection.run_cycle(late), Progress::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
@@ -71,7 +71,7 @@
     let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     while !connection.has_empty_buffers() {
-        assert_eq!(connection.poll(started_at), Progress::Pending);
+        assert_eq!(connection.run_cycle(started_at), Progress::Pending);
     }
     assert_eq!(connection.state_deadline, started_at + TIMEOUT);
 }
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -148,7 +148,7 @@
         let now = context.reactor.now();
         let Some(connection) = self.pool.get_mut(id) else { return };
         let previous_deadline = connection.state_deadline();
-        let progress = connection.poll(now);
+        let progress = connection.run_cycle(now);
         if connection.state_deadline() != previous_deadline {
             context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
         }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -100,9 +100,9 @@
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(watch) = self.watches.get_mut(id) else { return };
         let mut updates = Vec::new();
-        let poll_result = watch.poll(context.reactor.now(), &mut updates);
+        let cycle_result = watch.run_cycle(context.reactor.now(), &mut updates);
         let apply_result = updates.into_iter().try_for_each(|update| self.apply(update, id, context));
-        if let Err(error) = apply_result.and(poll_result) {
+        if let Err(error) = apply_result.and(cycle_result) {
             self.fail(error, context);
         }
     }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -122,7 +122,7 @@
 
     /// Reads and writes until the socket would block. Appends to `updates` what was received, also where an
     /// error follows it.
-    pub fn poll(&mut self, now: Instant, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    pub fn run_cycle(&mut self, now: Instant, updates: &mut Vec<Update>) -> Result<(), WatchError> {
         let received_before = self.input.total_received();
         let result = self.transfer(updates);
         if self.response.has_head() && self.input.total_received() > received_before {
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -26,7 +26,7 @@
 pub(super) struct Acceptor {
     /// None once it is closed for the shutdown.
     listener: Option<TcpListener>,
-    /// Whether to close the listener as soon as its queue is empty.
+    /// Whether to close the listener once its queue is empty.
     is_closing: bool,
     /// Whether connections may wait in the listener's queue until the connection limit allows them.
     has_backlog: bool,
@@ -47,7 +47,7 @@
 
     /// Has the listening socket closed once all connections in its queue are accepted. Closing it earlier would
     /// reset them, with the queries that their clients may have sent.
-    pub(super) fn start_closing(&mut self) {
+    pub(super) fn close_once_queue_is_empty(&mut self) {
         self.is_closing = true;
     }
 
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -18,16 +18,16 @@
 use crate::net::reactor::{ConnectionId, TimerEvent};
 use crate::net::{CancelKey, Context, Response};
 
-/// Most messages of one connection that are processed in one poll. Keeps a client that sends without pause
+/// Most messages of one connection that are processed in one cycle. Keeps a client that sends without pause
 /// from blocking the event loop.
-const MAX_MESSAGES_PER_POLL: usize = 32;
+const MAX_MESSAGES_PER_CYCLE: usize = 32;
 
 /// Why the processing of messages has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
     /// It has to wait for the client or for a response.
     Blocked,
-    /// [`MAX_MESSAGES_PER_POLL`] messages were processed and there may be more.
+    /// [`MAX_MESSAGES_PER_CYCLE`] messages were processed and there may be more.
     LimitReached,
 }
 
@@ -36,8 +36,8 @@
     socket: ClientSocket,
     session: Session,
     deadline: ClientDeadline,
-    /// Whether a timer is set to poll again, since no event announces the input that is left.
-    poll_scheduled: bool,
+    /// Whether a timer is set for the next cycle, since no event announces the input that is left.
+    cycle_scheduled: bool,
 }
 
 impl Connection {
@@ -54,7 +54,7 @@
             socket: ClientSocket::new(stream),
             session: Session::new(cancel_key, budget, now),
             deadline: ClientDeadline::new(response_timeout),
-            poll_scheduled: false,
+            cycle_scheduled: false,
         }
     }
 
@@ -63,9 +63,9 @@
         &self.session
     }
 
-    /// Returns whether a timer, and no event, announces that the connection is to be polled.
-    pub(super) fn is_polled_by_timer(&self) -> bool {
-        self.poll_scheduled || !self.socket.is_registered()
+    /// Returns whether a timer, and no event, starts the next cycle of the connection.
+    pub(super) fn is_resumed_by_timer(&self) -> bool {
+        self.cycle_scheduled || !self.socket.is_registered()
     }
 
     /// Returns whether the client has not done in time what was due from it.
@@ -75,11 +75,11 @@
 
     /// Returns whether the connection can be closed in a graceful shutdown: every query received is answered.
     pub(super) fn can_close(&self) -> bool {
-        !self.poll_scheduled && self.session.is_drained()
+        !self.cycle_scheduled && self.session.is_drained()
     }
 
     /// Reads, processes and writes as much as possible without blocking.
-    pub(super) fn poll(
+    pub(super) fn run_cycle(
         &mut self,
         id: ConnectionId,
         service: ServiceStatus,
@@ -87,12 +87,12 @@
     ) -> Result<(), ConnectionClosed> {
         self.socket.ensure_registered(id, &mut context.reactor);
         let now = context.reactor.now();
-        self.poll_scheduled = false;
+        self.cycle_scheduled = false;
         while !self.session.phase().is_closing() {
             let status = self.session.read_from(&mut self.socket, now)?;
             let unprocessed_before = self.session.unprocessed_bytes();
             if self.process_messages(id, service, context)? == Progress::LimitReached {
-                self.schedule_poll(id, now, context);
+                self.schedule_cycle(id, now, context);
                 return Ok(());
             }
             // Events are edge-triggered: what a full buffer has left in the socket must be read now that some of
@@ -117,7 +117,7 @@
         service: ServiceStatus,
         context: &mut Context,
     ) -> Result<Progress, ConnectionClosed> {
-        for _ in 0..MAX_MESSAGES_PER_POLL {
+        for _ in 0..MAX_MESSAGES_PER_CYCLE {
             if self.flush()? != FlushStatus::Complete {
                 return Ok(Progress::Blocked);
             }
@@ -143,7 +143,7 @@
         Ok(is_closing)
     }
 
-    /// Discards what has arrived, at most one buffer for each poll: a client that sends without pause must
+    /// Discards what has arrived, at most one buffer in each cycle: a client that sends without pause must
     /// not block the event loop.
     fn discard_input(
         &mut self,
@@ -152,14 +152,14 @@
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
         if self.session.discard_from(&mut self.socket)? {
-            self.schedule_poll(id, now, context);
+            self.schedule_cycle(id, now, context);
         }
         Ok(())
     }
 
-    /// Polls again after the other connections were polled.
-    fn schedule_poll(&mut self, id: ConnectionId, now: Instant, context: &mut Context) {
-        self.poll_scheduled = true;
+    /// Starts the next cycle after those of the other connections.
+    fn schedule_cycle(&mut self, id: ConnectionId, now: Instant, context: &mut Context) {
+        self.cycle_scheduled = true;
         context.reactor.set_timer(now, TimerEvent::Client(id));
     }
 
@@ -168,10 +168,10 @@
     fn flush(&mut self) -> Result<FlushStatus, ConnectionClosed> {
         let status = self.session.write_to(&mut self.socket)?;
         match status {
-            // Once only: each shutdown raises an event for this connection, which would be polled endlessly.
+            // Once only: each shutdown raises an event for this connection, which would start cycles endlessly.
             FlushStatus::Complete if self.session.phase() == Phase::Closing => {
-                self.socket.half_close();
-                self.session.half_close();
+                self.socket.shut_down_sending();
+                self.session.sending_shut_down();
             }
             // A client that reads slowly does read: its time starts anew.
             FlushStatus::Partial => self.deadline.clear(),
@@ -180,19 +180,22 @@
         Ok(status)
     }
 
-    /// Adds the final response to the running query. The next poll writes it.
-    pub(super) fn respond(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
-        self.session.respond(response, now)
+    /// Adds the final response to the running query. The next cycle writes it.
+    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+        self.session.add_response(response, now)
     }
 
-    /// Adds the response to an empty query that has waited for an endpoint. The next poll writes it.
-    pub(super) fn respond_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), ConnectionClosed> {
-        self.session.respond_to_waiting_empty_query(now)
+    /// Adds the response to an empty query that has waited for an endpoint. The next cycle writes it.
+    pub(super) fn add_response_to_waiting_empty_query(
+        &mut self,
+        now: Instant,
+    ) -> Result<(), ConnectionClosed> {
+        self.session.add_response_to_waiting_empty_query(now)
     }
 
     /// Starts to close the connection. The client has time to read what it has been sent.
-    pub(super) fn start_closing(&mut self, id: ConnectionId, context: &mut Context) {
-        self.session.start_closing();
+    pub(super) fn close_gracefully(&mut self, id: ConnectionId, context: &mut Context) {
+        self.session.stop_processing();
         self.update_deadline(id, context);
     }
 
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -145,19 +145,19 @@
     /// Handles a connection that has become readable or writable.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let result = connection.poll(id, self.service, context);
-        self.finish_poll(id, result, context);
+        let result = connection.run_cycle(id, self.service, context);
+        self.finish_cycle(id, result, context);
     }
 
     /// Handles a connection that its client has closed. Unread input is lost.
     pub fn client_disconnected(&mut self, id: ConnectionId, context: &mut Context) {
-        self.finish_poll(id, Err(ConnectionClosed), context);
+        self.finish_cycle(id, Err(ConnectionClosed), context);
     }
 
-    /// Handles a timer of a connection: polls it again, or closes it if its client has missed its deadline.
+    /// Handles a timer of a connection: starts its next cycle, or closes it if its client has missed its deadline.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
-        if self.connections.get_mut(id).is_some_and(|connection| connection.is_polled_by_timer()) {
+        if self.connections.get_mut(id).is_some_and(|connection| connection.is_resumed_by_timer()) {
             self.ready(id, context);
         }
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -167,8 +167,8 @@
         }
         let result = connection
             .handle_missed_deadline(id, context)
-            .and_then(|()| connection.poll(id, self.service, context));
-        self.finish_poll(id, result, context);
+            .and_then(|()| connection.run_cycle(id, self.service, context));
+        self.finish_cycle(id, result, context);
     }
 
     /// Closes the connections whose idle timeout has passed, those idle for longest first.
@@ -182,10 +182,10 @@
             if !idle.is_still_idle(connection.session(), now) {
                 continue;
             }
-            connection.start_closing(idle.id, context);
+            connection.close_gracefully(idle.id, context);
             context.counters.idle_closed += 1;
-            let result = connection.poll(idle.id, self.service, context);
-            self.finish_poll(idle.id, result, context);
+            let result = connection.run_cycle(idle.id, self.service, context);
+            self.finish_cycle(idle.id, result, context);
         }
     }
 
@@ -197,9 +197,9 @@
         }
         count_response(&response, &mut context.counters);
         let result = connection
-            .respond(response, context.reactor.now())
-            .and_then(|()| connection.poll(id, self.service, context));
-        self.finish_poll(id, result, context);
+            .add_response(response, context.reactor.now())
+            .and_then(|()| connection.run_cycle(id, self.service, context));
+        self.finish_cycle(id, result, context);
     }
 
     /// Returns the connection whose running query a cancel request with this key refers to.
@@ -221,15 +221,15 @@
     fn respond_to_empty_query(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let result = connection
-            .respond_to_waiting_empty_query(context.reactor.now())
-            .and_then(|()| connection.poll(id, self.service, context));
-        self.finish_poll(id, result, context);
+            .add_response_to_waiting_empty_query(context.reactor.now())
+            .and_then(|()| connection.run_cycle(id, self.service, context));
+        self.finish_cycle(id, result, context);
     }
 
     /// Accepts the connections in the listener's queue, then closes the listener. Queries are still served
     /// until [`start_draining`](Self::start_draining).
     pub fn stop_accepting(&mut self, context: &mut Context) {
-        self.acceptor.start_closing();
+        self.acceptor.close_once_queue_is_empty();
         self.accept(context);
     }
 
@@ -246,9 +246,9 @@
         self.connections.find_all(Session::has_input_behind_query)
     }
 
-    /// Completes a poll: closes a drained connection during the shutdown, updates the client's deadline,
+    /// Completes a cycle: closes a drained connection during the shutdown, updates the client's deadline,
     /// removes a connection that is closed, and accepts waiting connections if the limit may allow them now.
-    fn finish_poll(
+    fn finish_cycle(
         &mut self,
         id: ConnectionId,
         mut result: Result<(), ConnectionClosed>,
@@ -257,8 +257,8 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_busy = connection.session().phase() == Phase::Busy;
         if self.service.is_draining() && result.is_ok() && connection.can_close() {
-            connection.start_closing(id, context);
-            result = connection.poll(id, self.service, context);
+            connection.close_gracefully(id, context);
+            result = connection.run_cycle(id, self.service, context);
         }
         connection.update_deadline(id, context);
         let is_closed = result.is_err();
--- a/src/net/frontend/protocol_state/tests.rs
+++ b/src/net/frontend/protocol_state/tests.rs
@@ -47,7 +47,7 @@
     after(&[SESSION, QUERY, CLOSING]);
 }
 
-/// Each shutdown of the sending direction raises an event, which would be polled endlessly.
+/// Each shutdown of the sending direction raises an event, which would start cycles endlessly.
 #[test]
 #[should_panic(expected = "HalfClosed cannot become HalfClosed")]
 fn the_sending_direction_is_shut_down_once() {
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -124,27 +124,30 @@
         self.output.write_to(sink)
     }
 
-    /// Starts to close the session: no message is processed any more.
-    pub(super) fn start_closing(&mut self) {
+    /// Starts to close the session: no message is processed any more, and pending output is still sent.
+    pub(super) fn stop_processing(&mut self) {
         self.state.start_closing();
     }
 
     /// Records that all output of the closing session is sent and the sending direction is shut down.
-    pub(super) fn half_close(&mut self) {
+    pub(super) fn sending_shut_down(&mut self) {
         self.state.half_close();
     }
 
     /// Adds the final response to the running query.
-    pub(super) fn respond(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
         self.last_responded_at = now;
         self.state.finish_query();
         self.output.push_response(response)
     }
 
     /// Adds the response to an empty query that has waited for an endpoint.
-    pub(super) fn respond_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response_to_waiting_empty_query(
+        &mut self,
+        now: Instant,
+    ) -> Result<(), ConnectionClosed> {
         self.last_responded_at = now;
-        self.respond_to_empty_query()
+        self.add_response_to_empty_query()
     }
 
     /// Closes the session of a client that has not acted in time. An incomplete message is answered with an
@@ -161,7 +164,7 @@
             let message = "message not completed in time";
             return self.close_with_error(sqlstate::PROTOCOL_VIOLATION, message, counters);
         }
-        self.start_closing();
+        self.stop_processing();
         Ok(())
     }
 
@@ -189,7 +192,7 @@
         }
     }
 
-    fn respond_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
+    fn add_response_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
         self.state.finish_empty_query();
         self.output.push_empty_query_response()
     }
@@ -203,7 +206,7 @@
     ) -> Result<(), ConnectionClosed> {
         counters.malformed += 1;
         self.output.push_fatal_error(code, message)?;
-        self.start_closing();
+        self.stop_processing();
         Ok(())
     }
 }
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -136,7 +136,7 @@
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
         match postgres::parse_query(body) {
-            Ok(ParsedQuery::Empty) if service.is_ready() => self.respond_to_empty_query(),
+            Ok(ParsedQuery::Empty) if service.is_ready() => self.add_response_to_empty_query(),
             Ok(ParsedQuery::Empty) => {
                 self.state.await_endpoints();
                 Ok(())
--- a/src/net/frontend/socket.rs
+++ b/src/net/frontend/socket.rs
@@ -44,7 +44,7 @@
 
     /// Shuts down the sending direction only. Closing the socket with unread input would reset the connection,
     /// and the client might lose the last message.
-    pub(super) fn half_close(&self) {
+    pub(super) fn shut_down_sending(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
