--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -7,6 +7,7 @@
 
 use mio::net::TcpStream;
 
+use super::cycle::Cycle;
 use super::deadline::ClientDeadline;
 use super::error::ConnectionClosed;
 use super::output::FlushStatus;
@@ -87,12 +88,13 @@
     ) -> Result<(), ConnectionClosed> {
         self.socket.ensure_registered(id, &mut context.reactor);
         let now = context.reactor.now();
+        let mut cycle = Cycle { id, service, context };
         self.cycle_scheduled = false;
         while !self.session.phase().is_closing() {
             let status = self.session.read_from(&mut self.socket, now)?;
             let unprocessed_before = self.session.unprocessed_bytes();
-            if self.process_messages(id, service, context)? == Progress::LimitReached {
-                self.schedule_cycle(id, now, context);
+            if self.process_messages(&mut cycle)? == Progress::LimitReached {
+                self.schedule_cycle(id, now, cycle.context);
                 return Ok(());
             }
             // Events are edge-triggered: what a full buffer has left in the socket must be read now that some of
@@ -101,31 +103,26 @@
                 return Ok(());
             }
             let is_stuck = self.session.unprocessed_bytes() == unprocessed_before;
-            if is_stuck && !self.close_if_message_cannot_fit(id, context)? {
+            if is_stuck && !self.close_if_message_cannot_fit(id, cycle.context)? {
                 return Ok(());
             }
         }
         self.flush()?;
-        self.discard_input(id, now, context)
+        self.discard_input(id, now, cycle.context)
     }
 
     /// Processes the messages in the input one by one. Each is taken only when all responses so far are
     /// written: a client that sends and does not read fills its buffers and no more.
-    fn process_messages(
-        &mut self,
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
-    ) -> Result<Progress, ConnectionClosed> {
+    fn process_messages(&mut self, cycle: &mut Cycle) -> Result<Progress, ConnectionClosed> {
         for _ in 0..MAX_MESSAGES_PER_CYCLE {
             if self.flush()? != FlushStatus::Complete {
                 return Ok(Progress::Blocked);
             }
-            if self.session.process_next_message(id, service, context)? == MessageStatus::Blocked {
+            if self.session.process_next_message(cycle)? == MessageStatus::Blocked {
                 return Ok(Progress::Blocked);
             }
             if self.session.phase().is_closing() {
-                self.update_deadline(id, context);
+                self.update_deadline(cycle.id, cycle.context);
             }
         }
         Ok(Progress::LimitReached)
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -13,12 +13,13 @@
 //!     - [`input`]: bytes received and not yet processed, with their [`arrivals`].
 //!     - [`output`]: responses and errors that are still to be written.
 //!   - [`deadline`]: what is due from the client, and until when.
-//! - [`service_status`], [`error`], [`log_limiter`]: used by several of them.
+//! - [`cycle`], [`service_status`], [`error`], [`log_limiter`]: used by several of them.
 
 mod acceptor;
 mod arrivals;
 mod connection;
 mod connections;
+mod cycle;
 mod deadline;
 mod error;
 mod idle;
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -1,13 +1,12 @@
 //! What each message of a client leads to.
 
 use super::Session;
+use crate::net::frontend::cycle::Cycle;
 use crate::net::frontend::error::ConnectionClosed;
 use crate::net::frontend::protocol_state::Phase;
-use crate::net::frontend::service_status::ServiceStatus;
 use crate::net::postgres::{
     self, sqlstate, ClientMessage, ClientMessageKind, FrameError, ParsedQuery, Startup,
 };
-use crate::net::reactor::ConnectionId;
 use crate::net::{Context, Event, Query};
 
 /// What came of looking for a message to process.
@@ -31,17 +30,15 @@
     /// Processes the next message if it is complete and the state allows it.
     pub(in crate::net::frontend) fn process_next_message(
         &mut self,
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
+        cycle: &mut Cycle,
     ) -> Result<MessageStatus, ConnectionClosed> {
         match self.next_message() {
             Ok(None) => return Ok(MessageStatus::Blocked),
-            Ok(Some(ClientRequest::Startup(startup))) => self.process_startup(startup, context)?,
+            Ok(Some(ClientRequest::Startup(startup))) => self.process_startup(startup, cycle.context)?,
             Ok(Some(ClientRequest::Message(message))) => {
-                self.process_message(&message, id, service, context)?;
+                self.process_message(&message, cycle)?;
             }
-            Err(error) => self.reject_frame(error, context)?,
+            Err(error) => self.reject_frame(error, cycle.context)?,
         }
         Ok(MessageStatus::Processed)
     }
@@ -86,9 +83,7 @@
     fn process_message(
         &mut self,
         message: &ClientMessage,
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
+        cycle: &mut Cycle,
     ) -> Result<(), ConnectionClosed> {
         match message.kind {
             Some(ClientMessageKind::Terminate) => Err(ConnectionClosed),
@@ -97,7 +92,7 @@
                 self.output.push_ready_for_query()
             }
             _ if self.phase() == Phase::SkippingToSync => Ok(()),
-            Some(ClientMessageKind::Query) => self.process_query(&message.body, id, service, context),
+            Some(ClientMessageKind::Query) => self.process_query(&message.body, cycle),
             Some(
                 ClientMessageKind::Parse
                 | ClientMessageKind::Bind
@@ -123,54 +118,42 @@
             ) => Ok(()),
             None => {
                 let code = sqlstate::PROTOCOL_VIOLATION;
-                self.close_with_error(code, "unknown message", &mut context.counters)
+                self.close_with_error(code, "unknown message", &mut cycle.context.counters)
             }
         }
     }
 
-    fn process_query(
-        &mut self,
-        body: &[u8],
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    fn process_query(&mut self, body: &[u8], cycle: &mut Cycle) -> Result<(), ConnectionClosed> {
         match postgres::parse_query(body) {
-            Ok(ParsedQuery::Empty) if service.is_ready() => self.add_response_to_empty_query(),
+            Ok(ParsedQuery::Empty) if cycle.service.is_ready() => self.add_response_to_empty_query(),
             Ok(ParsedQuery::Empty) => {
                 self.state.await_endpoints();
                 Ok(())
             }
-            Ok(ParsedQuery::Query(query)) => self.start_query(query, id, service, context),
+            Ok(ParsedQuery::Query(query)) => self.start_query(query, cycle),
             Err(error) => {
-                context.counters.malformed += 1;
+                cycle.context.counters.malformed += 1;
                 self.output.push_error(sqlstate::SYNTAX_ERROR, &error.to_string())
             }
         }
     }
 
     /// Passes a query on for execution, or rejects it during the shutdown or without memory for it.
-    fn start_query(
-        &mut self,
-        mut query: Box<Query>,
-        id: ConnectionId,
-        service: ServiceStatus,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    fn start_query(&mut self, mut query: Box<Query>, cycle: &mut Cycle) -> Result<(), ConnectionClosed> {
         let received_at = self.input.message_received_at();
-        if let Some(drain) = service.rejecting_drain(received_at) {
-            context.counters.rejected += 1;
+        if let Some(drain) = cycle.service.rejecting_drain(received_at) {
+            cycle.context.counters.rejected += 1;
             let code = sqlstate::CANNOT_CONNECT_NOW;
             return self.output.push_rejection(code, "shutting down", drain.retry_after());
         }
         // Each statement is within its own limit, but many of them together may exceed the memory.
         let Ok(memory) = self.input.reserve_memory(query.statement.text.len()) else {
-            context.counters.rejected += 1;
+            cycle.context.counters.rejected += 1;
             return self.output.push_error(sqlstate::TOO_MANY_CONNECTIONS, "no memory");
         };
         query.statement.memory = Some(memory);
         self.state.start_query();
-        context.events.push_back(Event::QueryReceived { client: id, query, received_at });
+        cycle.context.events.push_back(Event::QueryReceived { client: cycle.id, query, received_at });
         Ok(())
     }
 }
