--- /dev/null
+++ b/src/net/frontend/accepting.rs
@@ -0,0 +1,78 @@
+//! How the frontend accepts connections: up to the connection limit, or in place of an idle connection.
+
+use std::ops::ControlFlow;
+
+use mio::net::TcpStream;
+
+use super::acceptor::AcceptStatus;
+use super::connection::Connection;
+use super::connections::Capacity;
+use super::Frontend;
+use crate::net::{CancelKey, Context};
+
+impl Frontend {
+    /// Accepts all connections in the listener's queue, as far as the connection limit allows.
+    pub fn accept(&mut self, context: &mut Context) {
+        while self.acceptor.is_open() {
+            if self.accept_next(context).is_break() {
+                return;
+            }
+        }
+    }
+
+    /// Closes the listener once the connections in its queue are accepted: now, unless the connection limit is
+    /// reached. Queries are still served until [`start_draining`](Self::start_draining).
+    pub fn stop_accepting(&mut self, context: &mut Context) {
+        self.acceptor.close_once_queue_is_empty();
+        self.accept(context);
+    }
+
+    /// Accepts connections that were left in the listener's queue.
+    pub(super) fn resume_accepting(&mut self, context: &mut Context) {
+        if self.acceptor.take_backlog() {
+            self.accept(context);
+        }
+    }
+
+    /// Accepts one connection. Breaks when no more can be accepted for now.
+    fn accept_next(&mut self, context: &mut Context) -> ControlFlow<()> {
+        let now = context.reactor.now();
+        let evicted = match self.connections.capacity() {
+            Capacity::Available => None,
+            Capacity::Evict(id) => {
+                // Input that has arrived by now makes the connection busy.
+                self.ready(id, context);
+                if !self.connections.is_evictable(id) {
+                    return ControlFlow::Continue(());
+                }
+                Some(id)
+            }
+            Capacity::Exhausted => {
+                self.acceptor.wait_for_capacity(self.connections.len(), now);
+                return ControlFlow::Break(());
+            }
+        };
+        match self.acceptor.accept(now, &mut context.reactor) {
+            AcceptStatus::Accepted(stream) => {
+                // Closed only now that there is a new one, which uses a spare descriptor for a moment.
+                if let Some(id) = evicted {
+                    self.connections.remove(id);
+                }
+                self.add_connection(stream, context);
+                ControlFlow::Continue(())
+            }
+            AcceptStatus::Aborted => ControlFlow::Continue(()),
+            AcceptStatus::Blocked => ControlFlow::Break(()),
+        }
+    }
+
+    fn add_connection(&mut self, stream: TcpStream, context: &mut Context) {
+        let _ = stream.set_nodelay(true);
+        let cancel_key = CancelKey { process_id: self.rng.u32(..), secret: self.rng.u32(..) };
+        let now = context.reactor.now();
+        let connection = Connection::new(stream, cancel_key, &self.budget, self.response_timeout, now);
+        let id = self.connections.insert(connection);
+        context.counters.clients_accepted += 1;
+        self.ready(id, context);
+    }
+}
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -3,6 +3,7 @@
 //! Each module uses only modules below it, apart from the types at the end:
 //!
 //! - [`Frontend`]: hands each event to the connection that it is for.
+//! - [`accepting`]: how it accepts connections.
 //! - [`acceptor`]: the listening socket.
 //! - [`idle`]: decides which idle connections are closed when many are open.
 //! - [`connections`]: the open connections, their limit, and which one is evicted for a new one.
@@ -15,6 +16,7 @@
 //!   - [`deadline`]: what is due from the client, and until when.
 //! - [`cycle`], [`service_status`], [`error`], [`log_limiter`]: used by several of them.
 
+mod accepting;
 mod acceptor;
 mod arrivals;
 mod connection;
@@ -32,19 +34,17 @@
 mod socket;
 
 use std::io;
-use std::ops::ControlFlow;
 use std::time::Duration;
 
-use mio::net::{TcpListener, TcpStream};
+use mio::net::TcpListener;
 
 use super::buffer::MemoryBudget;
 use super::reactor::{ConnectionId, TimerEvent};
 use super::shutdown::Drain;
 use super::{CancelKey, Context, Event, Response};
 use crate::counters::Counters;
-use acceptor::{AcceptStatus, Acceptor};
-use connection::Connection;
-use connections::{Capacity, ClientConnections};
+use acceptor::Acceptor;
+use connections::ClientConnections;
 use error::ConnectionClosed;
 use idle::{IdleConnection, IDLE_SWEEP_INTERVAL};
 use protocol_state::Phase;
@@ -92,57 +92,6 @@
         self.connections.len() == 0 && !self.acceptor.is_open()
     }
 
-    /// Accepts all connections in the listener's queue, as far as the connection limit allows.
-    pub fn accept(&mut self, context: &mut Context) {
-        while self.acceptor.is_open() {
-            if self.accept_next(context).is_break() {
-                return;
-            }
-        }
-    }
-
-    /// Accepts one connection. Breaks when no more can be accepted for now.
-    fn accept_next(&mut self, context: &mut Context) -> ControlFlow<()> {
-        let now = context.reactor.now();
-        let evicted = match self.connections.capacity() {
-            Capacity::Available => None,
-            Capacity::Evict(id) => {
-                // Input that has arrived by now makes the connection busy.
-                self.ready(id, context);
-                if !self.connections.is_evictable(id) {
-                    return ControlFlow::Continue(());
-                }
-                Some(id)
-            }
-            Capacity::Exhausted => {
-                self.acceptor.wait_for_capacity(self.connections.len(), now);
-                return ControlFlow::Break(());
-            }
-        };
-        match self.acceptor.accept(now, &mut context.reactor) {
-            AcceptStatus::Accepted(stream) => {
-                // Closed only now that there is a new one, which therefore uses a spare descriptor for a moment.
-                if let Some(id) = evicted {
-                    self.connections.remove(id);
-                }
-                self.add_connection(stream, context);
-                ControlFlow::Continue(())
-            }
-            AcceptStatus::Aborted => ControlFlow::Continue(()),
-            AcceptStatus::Blocked => ControlFlow::Break(()),
-        }
-    }
-
-    fn add_connection(&mut self, stream: TcpStream, context: &mut Context) {
-        let _ = stream.set_nodelay(true);
-        let cancel_key = CancelKey { process_id: self.rng.u32(..), secret: self.rng.u32(..) };
-        let now = context.reactor.now();
-        let connection = Connection::new(stream, cancel_key, &self.budget, self.response_timeout, now);
-        let id = self.connections.insert(connection);
-        context.counters.clients_accepted += 1;
-        self.ready(id, context);
-    }
-
     /// Handles a connection that has become readable or writable.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -227,13 +176,6 @@
         self.finish_cycle(id, result, context);
     }
 
-    /// Accepts the connections in the listener's queue, then closes the listener. Queries are still served
-    /// until [`start_draining`](Self::start_draining).
-    pub fn stop_accepting(&mut self, context: &mut Context) {
-        self.acceptor.close_once_queue_is_empty();
-        self.accept(context);
-    }
-
     /// Closes each connection once all its queries are answered, and rejects queries as the drain says.
     pub fn start_draining(&mut self, drain: Drain, context: &mut Context) {
         self.service.start_draining(drain);
@@ -274,13 +216,6 @@
             self.resume_accepting(context);
         }
     }
-
-    /// Accepts connections that were left in the listener's queue.
-    fn resume_accepting(&mut self, context: &mut Context) {
-        if self.acceptor.take_backlog() {
-            self.accept(context);
-        }
-    }
 }
 
 fn count_response(response: &Response, counters: &mut Counters) {
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -6,6 +6,8 @@
 
 use mio::{Events, Poll};
 
+use super::connection::Connection;
+use super::connections::Capacity;
 use super::*;
 use crate::net::postgres;
 use crate::net::reactor::{EventSource, Reactor};
