--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,8 +1,6 @@
-//! The settings object in its JSON form, and its conversion to [`Settings`].
-//!
-//! This is the one place that knows the names that settings have outside of the program. Unknown fields are
-//! ignored, and absent ones have defaults. A number must be a number; a value of another kind that has the
-//! wrong type reads as absent.
+//! The settings object in its JSON form, the only place that knows its names, and its conversion to
+//! [`Settings`]. Unknown fields are ignored, absent ones have defaults. A field of the wrong type reads as
+//! absent, except a number, which must be one.
 
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -65,17 +65,15 @@
     }
 }
 
-/// What has happened since the start of the process. Counters never decrease.
-///
-/// They are printed on one line as `name=value`, separated by spaces. Operators parse that line: its names
-/// and their order are an interface. An outcome of health checks is printed only once it has occurred.
+/// What has happened since the start of the process; never decreases. Operators parse the printed line: its
+/// names and their order are an interface. An outcome of health checks is printed only once it has occurred.
 #[derive(Default)]
 pub(crate) struct Counters {
     /// Client connections that were accepted.
     pub clients_accepted: u64,
     /// Valid queries that were passed to the policy.
     pub requests_received: u64,
-    /// Messages and queries of clients that were invalid, including queries that an endpoint rejected as invalid.
+    /// Messages and queries of clients that were invalid, or that an endpoint rejected as such.
     pub malformed: u64,
     /// Clients whose connection was closed because they did not send a first query, complete a message or
     /// read their answers in time.
@@ -84,8 +82,8 @@
     pub idle_closed: u64,
     /// Queries that were answered with a value.
     pub served: u64,
-    /// Queries that were answered with a rejection: a retry by the client is harmless. Includes those rejected
-    /// for lack of memory or in a shutdown, which are not in [`requests_received`](Self::requests_received).
+    /// Queries that were answered with a rejection: a retry by the client is harmless. Those for lack of
+    /// memory or in a shutdown are counted, but are not in [`requests_received`](Self::requests_received).
     pub rejected: u64,
     /// Queries that were answered with a failure; they may have been executed.
     pub failed: u64,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,5 @@
-//! The operator's log: one line per event on standard error.
-//!
-//! A thread of its own writes the lines, so that a reader which falls behind never stops the program. Lines
-//! that exceed the capacity of its queue are lost; a line that counts them follows once the queue accepts
-//! lines again.
+//! The operator's log: one line per event on standard error, written by a thread of its own, so that a slow
+//! reader never stops the program. Lines beyond the capacity of its queue are lost; a later one counts them.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -19,8 +19,8 @@
 const USER: &str = "app";
 const DATABASE: &str = "shop";
 
-/// How long a query may wait in the output buffer. It states how much time its client has left, which may be at
-/// most 0.15 s too much when the endpoint receives it.
+/// How long a query may wait in the output buffer. It states how much time its client has left, which may be
+/// at most 0.15 s too much when the endpoint receives it.
 const QUERY_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How far an exchange has come.
@@ -30,8 +30,8 @@
     Pending,
     /// Its reply has ended and the connection can carry the next exchange.
     Done,
-    /// It has this outcome and the connection must be closed; also where the pooler cancels the exchange, since
-    /// the rest of its reply is not read.
+    /// It has this outcome and the connection must be closed; also where the pooler cancels the exchange,
+    /// since the rest of its reply is not read.
     Failed(Outcome),
     /// It has this outcome because the peer sent data that belongs to no valid reply. The connection must be
     /// closed.
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Processes a message of the session start. Sends the query as soon as the session is ready.
+    /// Processes a message of the session start. Sends the query once the session is ready.
     fn process_startup_message(&mut self, message: &BackendMessage, now: Instant) -> Progress {
         match message.kind {
             BackendMessageKind::ParameterStatus => Progress::Pending,
--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -45,8 +45,8 @@
     (connection, endpoint)
 }
 
-/// A query states how long its client waits. Once it waited in the buffer for as long as its client did, and the
-/// endpoint received a time that was over.
+/// A query states how long its client waits. Once it waited in the buffer for as long as its client did, and
+/// the endpoint received a time that was over.
 #[test]
 fn a_query_that_waits_to_be_written_is_given_up_before_its_deadline_is_wrong() {
     let started_at = Instant::now();
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -56,9 +56,9 @@
         Pool { endpoints: HashMap::new(), connections: ConnectionTable::new(), max_connections }
     }
 
-    /// Applies an update of the endpoint list. Idle connections to an endpoint that has moved, restarted, begun
-    /// to drain or left are closed: an endpoint that was cut off leaves them open and silent. Returns the
-    /// endpoints that stop serving with this update.
+    /// Applies an update of the endpoint list. Idle connections to an endpoint that has moved, restarted,
+    /// begun to drain or left are closed: an endpoint that was cut off leaves them open and silent. Returns
+    /// the endpoints that stop serving with this update.
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
@@ -147,7 +147,8 @@
         self.endpoints.get(endpoint).map(|endpoint| endpoint.address)
     }
 
-    /// Takes the most recently used idle connection to an endpoint, and closes those that are no longer usable.
+    /// Takes the most recently used idle connection to an endpoint, and closes those that are no longer
+    /// usable.
     pub fn take_idle(&mut self, endpoint: &EndpointId) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(id) = endpoint.idle.pop() {
@@ -160,8 +161,8 @@
         None
     }
 
-    /// Returns a connection to the pool for further use, or closes it if it is out of sync, if its endpoint has
-    /// moved or left, or if that endpoint has enough idle connections.
+    /// Returns a connection to the pool for further use, or closes it if it is out of sync, if its endpoint
+    /// has moved or left, or if that endpoint has enough idle connections.
     pub fn release(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let endpoint = self
--- a/src/net/buffer/memory_budget.rs
+++ b/src/net/buffer/memory_budget.rs
@@ -11,8 +11,8 @@
 #[error("the buffer or the memory budget has no capacity left")]
 pub(crate) struct CapacityExceeded;
 
-/// The number of bytes that all connections together may still reserve. Each buffer has a limit of its own, but
-/// many together could exceed the memory limit of the process. Clones share the same budget.
+/// The number of bytes that all connections together may still reserve. Each buffer has a limit of its own,
+/// but many together could exceed the memory limit of the process. Clones share the same budget.
 #[derive(Clone)]
 pub(crate) struct MemoryBudget {
     available: Rc<Cell<usize>>,
@@ -42,11 +42,7 @@
 }
 
 impl MemoryReservation {
-    /// Sets the size of the reservation.
-    ///
-    /// # Errors
-    ///
-    /// Fails where the budget has no such capacity. The reservation is unchanged then.
+    /// Sets the size of the reservation (bytes). Fails, and changes nothing, if the budget is too small.
     pub fn resize(&mut self, bytes: usize) -> Result<(), CapacityExceeded> {
         let available_without_this = self.budget.available() + self.bytes;
         let available = available_without_this.checked_sub(bytes).ok_or(CapacityExceeded)?;
--- a/src/net/buffer/ring_buffer.rs
+++ b/src/net/buffer/ring_buffer.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Reserves `bytes` on the budget of this buffer, for data that is used after it was taken out of the buffer.
+    /// Reserves `bytes` on the budget of this buffer, for data that is used after it was taken out of the
+    /// buffer.
     pub fn reserve_memory(&self, bytes: usize) -> Result<MemoryReservation, CapacityExceeded> {
         self.reservation.reserve_separately(bytes)
     }
@@ -110,11 +111,7 @@
         Ok(true)
     }
 
-    /// Appends `bytes`.
-    ///
-    /// # Errors
-    ///
-    /// Fails where the buffer or its budget has no capacity for all of them. The buffer is unchanged then.
+    /// Appends `bytes`. Fails, and changes nothing, if the buffer or its budget cannot take all of them.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), CapacityExceeded> {
         if bytes.is_empty() {
             return Ok(());
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -57,10 +57,10 @@
 #[test]
 fn failed_push_leaves_the_buffer_unchanged() {
     let mut buffer = RingBuffer::new(&MemoryBudget::new(INITIAL_SIZE));
-    buffer.push(b"kept").unwrap();
+    buffer.push(b"left").unwrap();
     assert_eq!(buffer.push(&[0; INITIAL_SIZE]), Err(CapacityExceeded));
     assert_eq!(buffer.total_received(), 4);
-    assert_eq!(buffer.take(INITIAL_SIZE), b"kept");
+    assert_eq!(buffer.take(INITIAL_SIZE), b"left");
 }
 
 #[test]
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -45,8 +45,8 @@
         })
     }
 
-    /// Has the listening socket closed once all connections in its queue are accepted. Closing it earlier would
-    /// reset them, with the queries that their clients may have sent.
+    /// Has the listening socket closed once all connections in its queue are accepted. Closing it earlier
+    /// would reset them, with the queries that their clients may have sent.
     pub(super) fn close_once_queue_is_empty(&mut self) {
         self.is_closing = true;
     }
@@ -56,8 +56,8 @@
         self.listener.is_some()
     }
 
-    /// Leaves the connections in the queue until one of the `clients` connected now is removed. The listener is
-    /// edge-triggered and does not announce them a second time.
+    /// Leaves the connections in the queue until one of the `clients` connected now is removed. The listener
+    /// is edge-triggered and does not announce them a second time.
     pub(super) fn wait_for_capacity(&mut self, clients: usize, now: Instant) {
         self.has_backlog = true;
         if self.log_limiter.permits(now) {
@@ -70,7 +70,8 @@
         std::mem::take(&mut self.has_backlog)
     }
 
-    /// Accepts the next connection in the queue. Without memory or a descriptor for it, sets a timer to try again.
+    /// Accepts the next connection in the queue. If the system lacks memory or a descriptor for it,
+    /// sets a timer to retry.
     pub(super) fn accept(&mut self, now: Instant, reactor: &mut Reactor) -> AcceptStatus {
         let Some(listener) = &self.listener else { return AcceptStatus::Blocked };
         match listener.accept() {
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -1,6 +1,4 @@
-//! One client connection: the cycle that reads, processes and writes without blocking.
-//!
-//! It owns the socket, the session that is spoken over it, and the client's deadline. Only this module moves
+//! One client connection: the cycle that reads, processes and writes without blocking. Only this module moves
 //! bytes between the socket and the session, and sets the timers of the connection.
 
 use std::time::{Duration, Instant};
@@ -42,8 +40,8 @@
 }
 
 impl Connection {
-    /// Creates the connection of a client that was accepted at `now`. The client may take `response_timeout` to
-    /// read its responses.
+    /// Creates the connection of a client that was accepted at `now`. The client may take `response_timeout`
+    /// to read its responses.
     pub(super) fn new(
         stream: TcpStream,
         cancel_key: CancelKey,
@@ -97,8 +95,8 @@
                 self.schedule_cycle(id, now, cycle.context);
                 return Ok(());
             }
-            // Events are edge-triggered: what a full buffer has left in the socket must be read now that some of
-            // the buffer is free, since no event announces it again.
+            // Events are edge-triggered: what a full buffer has left in the socket must be read now that some
+            // of the buffer is free, since no event announces it again.
             if status == ReadStatus::WouldBlock {
                 return Ok(());
             }
@@ -160,12 +158,12 @@
         context.reactor.set_timer(now, TimerEvent::Client(id));
     }
 
-    /// Writes the output to the socket, and shuts down the sending direction of a closing connection once all of
-    /// it is written.
+    /// Writes the output to the socket, and shuts down the sending direction of a closing connection once all
+    /// of it is written.
     fn flush(&mut self) -> Result<FlushStatus, ConnectionClosed> {
         let status = self.session.write_to(&mut self.socket)?;
         match status {
-            // Once only: each shutdown raises an event for this connection, which would start cycles endlessly.
+            // Once only: each shutdown raises an event, which would start cycles endlessly.
             FlushStatus::Complete if self.session.phase() == Phase::Closing => {
                 self.socket.shut_down_sending();
                 self.session.sending_shut_down();
--- a/src/net/frontend/connections.rs
+++ b/src/net/frontend/connections.rs
@@ -1,4 +1,4 @@
-//! The open client connections and their limit: whether a new one is accepted, and which one is evicted for it.
+//! The open client connections and their limit: whether one more is accepted, and which one it replaces.
 
 use super::connection::Connection;
 use super::protocol_state::Phase;
--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -71,7 +71,8 @@
         Ok(may_have_more)
     }
 
-    /// Reads the rest of a source that has ended or failed, and takes the startup message in it if there is one.
+    /// Reads the rest of a source that has ended or failed, and takes the startup message in it if there is
+    /// one.
     pub(super) fn take_final_startup(&mut self, source: &mut impl Read) -> Option<Startup> {
         let _ = self.buffer.read_from(source);
         self.take_startup().ok().flatten()
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -104,7 +104,7 @@
         self.finish_cycle(id, Err(ConnectionClosed), context);
     }
 
-    /// Handles a timer of a connection: starts its next cycle, or closes it if its client has missed its deadline.
+    /// Handles a timer of a connection: starts its next cycle, or closes it after a missed deadline.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
         if self.connections.get_mut(id).is_some_and(|connection| connection.is_resumed_by_timer()) {
--- a/src/net/frontend/protocol_state.rs
+++ b/src/net/frontend/protocol_state.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// The phase of a connection, and whether its client has used it. Debug builds panic on an illegal transition.
+/// The phase of a connection, and whether its client has used it. Debug builds panic on an illegal
+/// transition.
 #[derive(Debug)]
 pub(super) struct ProtocolState {
     phase: Phase,
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -1,7 +1,5 @@
-//! The session of a client: its protocol state with its input and output, and what is due from the client.
-//!
-//! [`messages`] reads messages from the input, changes the state and adds responses to the output. A session
-//! neither owns the socket nor sets timers.
+//! The session of a client: its protocol state with its input and output, and what is due from the client. It
+//! neither owns the socket nor sets timers. [`messages`] processes what the client sends.
 
 mod messages;
 
@@ -67,8 +65,8 @@
         self.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether the session has been idle for the timeout. Clients that have sent no query yet are left
-    /// out: they have a deadline of their own.
+    /// Returns whether the session has been idle for the timeout. Clients that have sent no query yet are
+    /// left out: they have a deadline of their own.
     pub(super) fn has_been_idle(&self, timeout: Duration, now: Instant) -> bool {
         self.state.has_queried() && self.is_idle() && now >= self.last_active_at() + timeout
     }
@@ -113,8 +111,8 @@
         self.input.read_from(source, now)
     }
 
-    /// Discards what has arrived, at most one buffer. Returns whether more may be left. Fails if the client has
-    /// closed the connection.
+    /// Discards what has arrived, at most one buffer. Returns whether more may be left. Fails if the client
+    /// has closed the connection.
     pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
         self.input.discard_from(source)
     }
@@ -181,8 +179,8 @@
         Ok(is_closing)
     }
 
-    /// Passes on a cancel request that was not processed when the connection was closed: a client may close it
-    /// right after sending the request.
+    /// Passes on a cancel request that was not processed when the connection was closed: a client may close
+    /// it right after sending the request.
     pub(super) fn process_final_cancel_request(&mut self, source: &mut impl Read, context: &mut Context) {
         if self.phase() != Phase::Startup {
             return;
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -107,8 +107,8 @@
             Some(ClientMessageKind::FunctionCall) => {
                 self.output.push_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served")
             }
-            // Flush has no effect on a simple query. A password or copy message belongs to an exchange that is
-            // over or was never started.
+            // Flush has no effect on a simple query. A password or copy message belongs to an exchange that
+            // is over or was never started.
             Some(
                 ClientMessageKind::Flush
                 | ClientMessageKind::Password
--- a/src/net/frontend/socket.rs
+++ b/src/net/frontend/socket.rs
@@ -29,8 +29,8 @@
         self.is_registered
     }
 
-    /// Registers the socket with the reactor, unless it is registered. If that fails, sets a timer to try again,
-    /// so that no client is reset because the system is short of memory for a moment.
+    /// Registers the socket with the reactor, unless it is registered. If that fails, sets a timer to try
+    /// again, so that no client is reset because the system is short of memory for a moment.
     pub(super) fn ensure_registered(&mut self, id: ConnectionId, reactor: &mut Reactor) {
         if self.is_registered {
             return;
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Shuts down the sending direction only. Closing the socket with unread input would reset the connection,
-    /// and the client might lose the last message.
+    /// Shuts down the sending direction only. Closing the socket with unread input would reset the
+    /// connection, and the client might lose the last message.
     pub(super) fn shut_down_sending(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -31,7 +31,7 @@
 }
 
 impl Statement {
-    /// The text with another timeout, which is written in whole milliseconds, at least one.
+    /// The text with another timeout, which is written in milliseconds without a fraction, at least one.
     pub fn with_timeout(&self, timeout: Duration) -> Vec<u8> {
         let before = &self.text[..self.timeout.start];
         let after = &self.text[self.timeout.end..];
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The network side of the pooler: sockets, wire protocols and timers. [`Policy`](crate::Policy) decides what is
-//! sent where.
+//! The network side of the pooler: sockets, wire protocols and timers. [`Policy`](crate::Policy) decides what
+//! is sent where.
 //!
 //! - [`reactor`]: the event loop, the timers and the clock.
 //! - [`frontend`]: the connections of clients.
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -39,8 +39,8 @@
             role: completion.role,
             report: completion.report,
         };
-        // The policy decides first: it must know what the answer says of the endpoint before the client can act on
-        // it. Its actions come last, so that nothing more is sent for a request that is already answered.
+        // The policy decides first: it learns from the answer before the client can act on it.
+        // Its actions come last: none of them may delay this answer or give the request another one.
         let actions = self.decide(interface::Event::AttemptFinished(result), context);
         match response {
             Some(response) => self.finish_request(&id, response, context),
--- a/src/net/postgres/backend_messages.rs
+++ b/src/net/postgres/backend_messages.rs
@@ -23,7 +23,8 @@
 pub(super) const COLUMN_VALUE_OFFSET: usize = 6;
 /// The number of columns, as a RowDescription and a DataRow start with it.
 const ONE_COLUMN: [u8; 2] = [0, 1];
-/// The bytes after the name of a column in its description: the numbers of its table, column, type and format.
+/// The bytes after the name of a column in its description: the numbers of its table, column, type and
+/// format.
 const COLUMN_NUMBERS_SIZE: usize = 18;
 
 /// Returns the longest body that an endpoint may send (bytes), or `None` for a kind that it does not send.
@@ -54,7 +55,7 @@
     }
 }
 
-/// Returns whether a DataRow has one column that fills the whole body. `start` needs to hold only what
+/// Returns whether a DataRow has one column that fills the entire body. `start` needs to hold only what
 /// precedes the value; `body_length` is in bytes.
 pub(super) fn has_one_column(start: &[u8], body_length: usize) -> bool {
     let Some((columns, rest)) = start.split_first_chunk() else { return false };
--- a/src/net/postgres/framing.rs
+++ b/src/net/postgres/framing.rs
@@ -40,10 +40,8 @@
     Ok(take_body(buffer, &header).map(|body| Message { kind, body }))
 }
 
-/// Takes the next message of an endpoint, or returns `None` until it is complete.
-///
-/// A message that no endpoint would send is rejected as early as its first bytes show it, instead of waiting
-/// for a rest that may never arrive.
+/// Takes the next message of an endpoint, or returns `None` until it is complete. One that no endpoint would
+/// send is rejected by its first bytes, since the rest of it may never arrive.
 pub(crate) fn read_backend_message(buffer: &mut RingBuffer) -> Result<Option<BackendMessage>, FrameError> {
     let Some([first_byte]) = buffer.peek() else { return Ok(None) };
     let kind = BackendMessageKind::from_byte(first_byte).ok_or(FrameError::Malformed)?;
--- a/src/net/postgres/message_kind.rs
+++ b/src/net/postgres/message_kind.rs
@@ -50,7 +50,8 @@
 }
 
 message_kinds! {
-    /// A kind of message that PostgreSQL servers send: endpoints to the pooler, and the pooler to its clients.
+    /// A kind of message that PostgreSQL servers send: endpoints to the pooler, and the pooler to its
+    /// clients.
     BackendMessageKind {
         Authentication = b'R',
         BackendKeyData = b'K',
--- a/src/net/postgres/sqlstate.rs
+++ b/src/net/postgres/sqlstate.rs
@@ -1,5 +1,5 @@
-//! SQLSTATE codes that the pooler sends to clients or understands in the errors of endpoints, by their names in
-//! PostgreSQL's list of error codes.
+//! SQLSTATE codes that the pooler sends to clients or understands in the errors of endpoints, by their names
+//! in PostgreSQL's list of error codes.
 
 /// From an endpoint: it is overloaded. To a client: the request is rejected and may be retried.
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
--- a/src/net/reactor/clock.rs
+++ b/src/net/reactor/clock.rs
@@ -7,8 +7,8 @@
 /// The longest duration that is counted. Adding it to the present cannot overflow an [`Instant`].
 const MAX_DURATION: Duration = Duration::from_secs(100 * 365 * 24 * 60 * 60);
 
-/// Converts between the instants of the event loop and the policy's time. The system clock is read at the start
-/// only, so that setting it neither delays nor fires a timer.
+/// Converts between the instants of the event loop and the policy's time. The system clock is read at the
+/// start only, so that setting it neither delays nor fires a timer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     started_at: Instant,
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -36,11 +36,7 @@
 }
 
 impl Reactor {
-    /// Creates a reactor whose registry belongs to `poll`.
-    ///
-    /// # Errors
-    ///
-    /// Fails where the system has no file descriptor left.
+    /// Creates a reactor whose registry belongs to `poll`. Fails if the system has no file descriptor left.
     pub fn new(poll: &Poll) -> io::Result<Reactor> {
         Ok(Reactor {
             registry: poll.registry().try_clone()?,
@@ -51,11 +47,8 @@
         })
     }
 
-    /// Has the events of a socket or of the signals reported under the name `source`.
-    ///
-    /// # Errors
-    ///
-    /// Fails where the system has no memory for the registration.
+    /// Has the events of a socket or of the signals reported under the name `source`. Fails if the
+    /// system has no memory for the registration.
     pub fn register(
         &mut self,
         socket: &mut impl Source,
@@ -118,11 +111,7 @@
     fn is_finished(&self) -> bool;
 }
 
-/// Runs the event loop until the handler has finished.
-///
-/// # Errors
-///
-/// Fails where the system cannot wait for events.
+/// Runs the event loop until the handler has finished. Fails if the system cannot wait for events.
 pub(crate) fn run(poll: &mut Poll, handler: &mut impl Handler, context: &mut Context) -> io::Result<()> {
     let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
     while !handler.is_finished() {
--- a/src/net/reactor/tokens.rs
+++ b/src/net/reactor/tokens.rs
@@ -1,5 +1,5 @@
-//! The sources of poll events, and their form as tokens of `mio`. A token holds, from its highest bit down, the
-//! kind of the source, the generation of the connection and the index of the connection.
+//! The sources of poll events, and their form as tokens of `mio`. A token holds, from its highest bit down,
+//! the kind of the source, the generation of the connection and the index of the connection.
 
 use mio::Token;
 
