--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -19,8 +19,8 @@
 const USER: &str = "app";
 const DATABASE: &str = "shop";
 
-/// How long a query may wait in the output buffer. It states how much time its client has left, which may be at
-/// most 0.15 s too much when the endpoint receives it.
+/// How long a query may wait in the output buffer. It states how much time its client has left, which may be
+/// at most 0.15 s too much when the endpoint receives it.
 const QUERY_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How far an exchange has come.
@@ -30,8 +30,8 @@
     Pending,
     /// Its reply has ended and the connection can carry the next exchange.
     Done,
-    /// It has this outcome and the connection must be closed; also where the pooler cancels the exchange, since
-    /// the rest of its reply is not read.
+    /// It has this outcome and the connection must be closed; also where the pooler cancels the exchange,
+    /// since the rest of its reply is not read.
     Failed(Outcome),
     /// It has this outcome because the peer sent data that belongs to no valid reply. The connection must be
     /// closed.
@@ -140,7 +140,7 @@
     /// Starts an exchange on an idle connection.
     pub fn start(&mut self, exchange: Exchange, now: Instant) -> Progress {
         match self.send_query(exchange, now) {
-            Progress::Pending => self.poll(now),
+            Progress::Pending => self.run_cycle(now),
             progress => progress,
         }
     }
@@ -161,7 +161,7 @@
 
     /// Reads, processes and writes as far as possible without blocking. Once a reply has begun, the rest of
     /// it is due within the connect timeout: a reply may announce more data than its sender ever sends.
-    pub fn poll(&mut self, now: Instant) -> Progress {
+    pub fn run_cycle(&mut self, now: Instant) -> Progress {
         let progress = self.advance(now);
         let has_unread_input = self.has_unread_input();
         if let State::Busy { reply, response_started, .. } = &mut self.state {
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Processes a message of the session start. Sends the query as soon as the session is ready.
+    /// Processes a message of the session start. Sends the query once the session is ready.
     fn process_startup_message(&mut self, message: &BackendMessage, now: Instant) -> Progress {
         match message.kind {
             BackendMessageKind::ParameterStatus => Progress::Pending,
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -3,6 +3,7 @@
 //! Each module uses only modules below it, apart from the types at the end:
 //!
 //! - [`Frontend`]: hands each event to the connection that it is for.
+//! - [`accepting`]: how it accepts connections.
 //! - [`acceptor`]: the listening socket.
 //! - [`idle`]: decides which idle connections are closed when many are open.
 //! - [`connections`]: the open connections, their limit, and which one is evicted for a new one.
@@ -13,12 +14,14 @@
 //!     - [`input`]: bytes received and not yet processed, with their [`arrivals`].
 //!     - [`output`]: responses and errors that are still to be written.
 //!   - [`deadline`]: what is due from the client, and until when.
-//! - [`service_status`], [`error`], [`log_limiter`]: used by several of them.
+//! - [`cycle`], [`service_status`], [`error`], [`log_limiter`]: used by several of them.
 
+mod accepting;
 mod acceptor;
 mod arrivals;
 mod connection;
 mod connections;
+mod cycle;
 mod deadline;
 mod error;
 mod idle;
@@ -31,19 +34,17 @@
 mod socket;
 
 use std::io;
-use std::ops::ControlFlow;
 use std::time::Duration;
 
-use mio::net::{TcpListener, TcpStream};
+use mio::net::TcpListener;
 
 use super::buffer::MemoryBudget;
 use super::reactor::{ConnectionId, TimerEvent};
 use super::shutdown::Drain;
 use super::{CancelKey, Context, Event, Response};
 use crate::counters::Counters;
-use acceptor::{AcceptStatus, Acceptor};
-use connection::Connection;
-use connections::{Capacity, ClientConnections};
+use acceptor::Acceptor;
+use connections::ClientConnections;
 use error::ConnectionClosed;
 use idle::{IdleConnection, IDLE_SWEEP_INTERVAL};
 use protocol_state::Phase;
@@ -91,73 +92,22 @@
         self.connections.len() == 0 && !self.acceptor.is_open()
     }
 
-    /// Accepts all connections in the listener's queue, as far as the connection limit allows.
-    pub fn accept(&mut self, context: &mut Context) {
-        while self.acceptor.is_open() {
-            if self.accept_next(context).is_break() {
-                return;
-            }
-        }
-    }
-
-    /// Accepts one connection. Breaks when no more can be accepted for now.
-    fn accept_next(&mut self, context: &mut Context) -> ControlFlow<()> {
-        let now = context.reactor.now();
-        let evicted = match self.connections.capacity() {
-            Capacity::Available => None,
-            Capacity::Evict(id) => {
-                // Input that has arrived by now makes the connection busy.
-                self.ready(id, context);
-                if !self.connections.is_evictable(id) {
-                    return ControlFlow::Continue(());
-                }
-                Some(id)
-            }
-            Capacity::Exhausted => {
-                self.acceptor.wait_for_capacity(self.connections.len(), now);
-                return ControlFlow::Break(());
-            }
-        };
-        match self.acceptor.accept(now, &mut context.reactor) {
-            AcceptStatus::Accepted(stream) => {
-                // Closed only now that there is a new one, which therefore uses a spare descriptor for a moment.
-                if let Some(id) = evicted {
-                    self.connections.remove(id);
-                }
-                self.add_connection(stream, context);
-                ControlFlow::Continue(())
-            }
-            AcceptStatus::Aborted => ControlFlow::Continue(()),
-            AcceptStatus::Blocked => ControlFlow::Break(()),
-        }
-    }
-
-    fn add_connection(&mut self, stream: TcpStream, context: &mut Context) {
-        let _ = stream.set_nodelay(true);
-        let cancel_key = CancelKey { process_id: self.rng.u32(..), secret: self.rng.u32(..) };
-        let now = context.reactor.now();
-        let connection = Connection::new(stream, cancel_key, &self.budget, self.response_timeout, now);
-        let id = self.connections.insert(connection);
-        context.counters.clients_accepted += 1;
-        self.ready(id, context);
-    }
-
     /// Handles a connection that has become readable or writable.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        let result = connection.poll(id, self.service, context);
-        self.finish_poll(id, result, context);
+        let result = connection.run_cycle(id, self.service, context);
+        self.finish_cycle(id, result, context);
     }
 
     /// Handles a connection that its client has closed. Unread input is lost.
     pub fn client_disconnected(&mut self, id: ConnectionId, context: &mut Context) {
-        self.finish_poll(id, Err(ConnectionClosed), context);
+        self.finish_cycle(id, Err(ConnectionClosed), context);
     }
 
-    /// Handles a timer of a connection: polls it again, or closes it if its client has missed its deadline.
+    /// Handles a timer of a connection: starts its next cycle, or closes it after a missed deadline.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
-        if self.connections.get_mut(id).is_some_and(|connection| connection.is_polled_by_timer()) {
+        if self.connections.get_mut(id).is_some_and(|connection| connection.is_resumed_by_timer()) {
             self.ready(id, context);
         }
         let Some(connection) = self.connections.get_mut(id) else { return };
@@ -167,8 +117,8 @@
         }
         let result = connection
             .handle_missed_deadline(id, context)
-            .and_then(|()| connection.poll(id, self.service, context));
-        self.finish_poll(id, result, context);
+            .and_then(|()| connection.run_cycle(id, self.service, context));
+        self.finish_cycle(id, result, context);
     }
 
     /// Closes the connections whose idle timeout has passed, those idle for longest first.
@@ -182,10 +132,10 @@
             if !idle.is_still_idle(connection.session(), now) {
                 continue;
             }
-            connection.start_closing(idle.id, context);
+            connection.close_gracefully(idle.id, context);
             context.counters.idle_closed += 1;
-            let result = connection.poll(idle.id, self.service, context);
-            self.finish_poll(idle.id, result, context);
+            let result = connection.run_cycle(idle.id, self.service, context);
+            self.finish_cycle(idle.id, result, context);
         }
     }
 
@@ -197,9 +147,9 @@
         }
         count_response(&response, &mut context.counters);
         let result = connection
-            .respond(response, context.reactor.now())
-            .and_then(|()| connection.poll(id, self.service, context));
-        self.finish_poll(id, result, context);
+            .add_response(response, context.reactor.now())
+            .and_then(|()| connection.run_cycle(id, self.service, context));
+        self.finish_cycle(id, result, context);
     }
 
     /// Returns the connection whose running query a cancel request with this key refers to.
@@ -221,16 +171,9 @@
     fn respond_to_empty_query(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let result = connection
-            .respond_to_waiting_empty_query(context.reactor.now())
-            .and_then(|()| connection.poll(id, self.service, context));
-        self.finish_poll(id, result, context);
-    }
-
-    /// Accepts the connections in the listener's queue, then closes the listener. Queries are still served
-    /// until [`start_draining`](Self::start_draining).
-    pub fn stop_accepting(&mut self, context: &mut Context) {
-        self.acceptor.start_closing();
-        self.accept(context);
+            .add_response_to_waiting_empty_query(context.reactor.now())
+            .and_then(|()| connection.run_cycle(id, self.service, context));
+        self.finish_cycle(id, result, context);
     }
 
     /// Closes each connection once all its queries are answered, and rejects queries as the drain says.
@@ -246,9 +189,9 @@
         self.connections.find_all(Session::has_input_behind_query)
     }
 
-    /// Completes a poll: closes a drained connection during the shutdown, updates the client's deadline,
+    /// Completes a cycle: closes a drained connection during the shutdown, updates the client's deadline,
     /// removes a connection that is closed, and accepts waiting connections if the limit may allow them now.
-    fn finish_poll(
+    fn finish_cycle(
         &mut self,
         id: ConnectionId,
         mut result: Result<(), ConnectionClosed>,
@@ -257,8 +200,8 @@
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_busy = connection.session().phase() == Phase::Busy;
         if self.service.is_draining() && result.is_ok() && connection.can_close() {
-            connection.start_closing(id, context);
-            result = connection.poll(id, self.service, context);
+            connection.close_gracefully(id, context);
+            result = connection.run_cycle(id, self.service, context);
         }
         connection.update_deadline(id, context);
         let is_closed = result.is_err();
@@ -273,13 +216,6 @@
             self.resume_accepting(context);
         }
     }
-
-    /// Accepts connections that were left in the listener's queue.
-    fn resume_accepting(&mut self, context: &mut Context) {
-        if self.acceptor.take_backlog() {
-            self.accept(context);
-        }
-    }
 }
 
 fn count_response(response: &Response, counters: &mut Counters) {
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -1,7 +1,5 @@
-//! The session of a client: its protocol state with its input and output, and what is due from the client.
-//!
-//! [`messages`] reads messages from the input, changes the state and adds responses to the output. A session
-//! neither owns the socket nor sets timers.
+//! The session of a client: its protocol state with its input and output, and what is due from the client. It
+//! neither owns the socket nor sets timers. [`messages`] processes what the client sends.
 
 mod messages;
 
@@ -67,8 +65,8 @@
         self.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether the session has been idle for the timeout. Clients that have sent no query yet are left
-    /// out: they have a deadline of their own.
+    /// Returns whether the session has been idle for the timeout. Clients that have sent no query yet are
+    /// left out: they have a deadline of their own.
     pub(super) fn has_been_idle(&self, timeout: Duration, now: Instant) -> bool {
         self.state.has_queried() && self.is_idle() && now >= self.last_active_at() + timeout
     }
@@ -113,8 +111,8 @@
         self.input.read_from(source, now)
     }
 
-    /// Discards what has arrived, at most one buffer. Returns whether more may be left. Fails if the client has
-    /// closed the connection.
+    /// Discards what has arrived, at most one buffer. Returns whether more may be left. Fails if the client
+    /// has closed the connection.
     pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
         self.input.discard_from(source)
     }
@@ -124,27 +122,30 @@
         self.output.write_to(sink)
     }
 
-    /// Starts to close the session: no message is processed any more.
-    pub(super) fn start_closing(&mut self) {
+    /// Starts to close the session: no message is processed any more, and pending output is still sent.
+    pub(super) fn stop_processing(&mut self) {
         self.state.start_closing();
     }
 
     /// Records that all output of the closing session is sent and the sending direction is shut down.
-    pub(super) fn half_close(&mut self) {
+    pub(super) fn sending_shut_down(&mut self) {
         self.state.half_close();
     }
 
     /// Adds the final response to the running query.
-    pub(super) fn respond(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
         self.last_responded_at = now;
         self.state.finish_query();
         self.output.push_response(response)
     }
 
     /// Adds the response to an empty query that has waited for an endpoint.
-    pub(super) fn respond_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response_to_waiting_empty_query(
+        &mut self,
+        now: Instant,
+    ) -> Result<(), ConnectionClosed> {
         self.last_responded_at = now;
-        self.respond_to_empty_query()
+        self.add_response_to_empty_query()
     }
 
     /// Closes the session of a client that has not acted in time. An incomplete message is answered with an
@@ -161,7 +162,7 @@
             let message = "message not completed in time";
             return self.close_with_error(sqlstate::PROTOCOL_VIOLATION, message, counters);
         }
-        self.start_closing();
+        self.stop_processing();
         Ok(())
     }
 
@@ -178,8 +179,8 @@
         Ok(is_closing)
     }
 
-    /// Passes on a cancel request that was not processed when the connection was closed: a client may close it
-    /// right after sending the request.
+    /// Passes on a cancel request that was not processed when the connection was closed: a client may close
+    /// it right after sending the request.
     pub(super) fn process_final_cancel_request(&mut self, source: &mut impl Read, context: &mut Context) {
         if self.phase() != Phase::Startup {
             return;
@@ -189,7 +190,7 @@
         }
     }
 
-    fn respond_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
+    fn add_response_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
         self.state.finish_empty_query();
         self.output.push_empty_query_response()
     }
@@ -203,7 +204,7 @@
     ) -> Result<(), ConnectionClosed> {
         counters.malformed += 1;
         self.output.push_fatal_error(code, message)?;
-        self.start_closing();
+        self.stop_processing();
         Ok(())
     }
 }
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -6,6 +6,8 @@
 
 use mio::{Events, Poll};
 
+use super::connection::Connection;
+use super::connections::Capacity;
 use super::*;
 use crate::net::postgres;
 use crate::net::reactor::{EventSource, Reactor};
@@ -74,7 +76,7 @@
         }
         self.frontend.respond(id, Response::Value(LONG_RESPONSE.to_vec()), &mut self.context);
         let connection = self.frontend.connections.get_mut(id).unwrap();
-        connection.start_closing(id, &mut self.context);
+        connection.close_gracefully(id, &mut self.context);
         self.frontend.ready(id, &mut self.context);
         assert_eq!(self.connection().session().phase(), Phase::Closing, "the response does not fit");
     }
