--- a/tests/loopback/attempts.rs
+++ b/tests/loopback/attempts.rs
@@ -89,8 +89,8 @@
     let mut client = connect_client(&pooler);
     // The first write shows which host is the primary.
     let backend = complete_write(&host, &mut client);
-    drop(backend);
-    drop(host);
+    backend.close();
+    host.close();
     client.send(&write_with_short_deadline().message());
     client.expect_error("53300");
 }
--- a/tests/loopback/harness/connection.rs
+++ b/tests/loopback/harness/connection.rs
@@ -1,7 +1,7 @@
 //! A connection that carries PostgreSQL messages, driven from either end.
 
 use std::io::{ErrorKind, Read, Write};
-use std::net::TcpStream;
+use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
 use super::wire::{message_type, Message};
@@ -35,6 +35,12 @@
         self.stream.write_all(bytes).unwrap();
     }
 
+    /// Closes the connection at once. Dropping it may close it later: a process that another test is starting
+    /// holds copies of all descriptors for a moment.
+    pub fn close(self) {
+        self.stream.shutdown(Shutdown::Both).unwrap();
+    }
+
     /// Ends the connection by a reset after all sent bytes have left.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
--- a/tests/loopback/harness/database_host.rs
+++ b/tests/loopback/harness/database_host.rs
@@ -1,7 +1,7 @@
 //! Database hosts.
 
 use std::io::Read;
-use std::net::TcpListener;
+use std::net::{Shutdown, TcpListener};
 
 use super::wire::{encode_message, message_type, ready_for_query, result_response, Role};
 use super::{listen_on_loopback, Connection, EndpointEntry};
@@ -33,6 +33,11 @@
         }
     }
 
+    /// Refuses connections from now on. Dropping the host may do so later, see [`Connection::close`].
+    pub fn close(self) {
+        socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both).unwrap();
+    }
+
     /// The next connection, before its startup; none if the pooler opens none for a long time.
     pub fn next_connection(&self) -> Option<Connection> {
         let (stream, _) = self.listener.accept().ok()?;
