--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -7,7 +7,7 @@
 /// Something to be done; the actions of one event are carried out in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start an attempt. The n-th one of a request has the number n, from 0, wherever attempts are numbered.
     Send {
         /// The request.
         id: RequestId,
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -100,7 +100,7 @@
     Overloaded,
     /// No answer came in time; the request may have been executed.
     Timeout,
-    /// No connection was established; the request was not executed.
+    /// The connection was not established, or was lost before the request was written; it was not executed.
     ConnectFailed,
     /// The connection broke; the request may have been executed.
     ConnectionReset,
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -1,18 +1,21 @@
 //! Evidence: what the end of an attempt, a failed health check or silence shows of an endpoint.
 //!
-//! Latencies are those of the class of the request. An endpoint is ejected at a score of 2.0.
+//! Latencies are those of the class of the request; an attempt is late beyond the mean and two deviations.
+//! An endpoint is ejected at a score of 2.0, which decays (see
+//! [`outlier_detection`](super::outlier_detection)). The weights are 2.0 ([`EJECTION_SCORE`]), 1.1
+//! ([`CONNECTION_LOST`]), 1.0 ([`FAILURE`]) and 0.5 ([`CONNECTION_RESET`]).
 //!
 //! | Outcome | Failure weight | Counts as load for | Latency sample | Freshness |
 //! |---|---|---|---|---|
-//! | `Success` | none; ends an ejection | | yes | |
+//! | `Success` | halves the score; ends an ejection | | yes | |
 //! | `Ineligible` | | | | behind for as long as its lag |
 //! | `Overloaded` | | mean latency | | |
 //! | `Error` | [`FAILURE`] | | | |
 //! | `ConnectFailed`, refused | [`EJECTION_SCORE`]; [`CONNECTION_LOST`] if it has just answered | | | |
 //! | `ConnectFailed`, timed out | [`CONNECTION_LOST`], unless its silence has been counted | | | |
 //! | `ConnectionReset` | [`CONNECTION_RESET`] | | | |
-//! | `Timeout`, longer than usual | [`FAILURE`] if the endpoint is silent | mean + deviation | yes | |
-//! | `Timeout`, shorter; `Cancelled` | | mean + deviation | | |
+//! | `Timeout`, late and not cancelled | [`FAILURE`] if the endpoint is silent | mean + deviation | yes | |
+//! | any other `Timeout`; `Cancelled` | | mean + deviation | | |
 //! | `NotSent`, `InvalidRequest` | | | | |
 //! | silent endpoint | [`EJECTION_SCORE`]; [`CONNECTION_LOST`] for a primary's first late attempt | | | |
 //! | failed health check, not for lack of capacity | [`FAILURE`] | | | |
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -102,7 +102,8 @@
         self.reported.map(|reported| reported.position)
     }
 
-    /// When it first reported its present log position.
+    /// When it first reported its present log position. A later report of the same position does not change
+    /// it.
     pub(crate) fn reported_at(&self) -> Option<LocalInstant> {
         self.reported.map(|reported| reported.reported_at)
     }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,8 +1,8 @@
 //! Freshness: whether the data of an endpoint is recent enough for a read.
 //!
-//! A read requires a log position. An endpoint is [`Freshness::Fresh`] if it is known to have reached that,
-//! [`Freshness::PossiblyFresh`] if it may have reached it and would reject the read otherwise, and
-//! [`Freshness::Stale`] if neither holds.
+//! A read requires a log position, which is a time on the endpoints' clock. An endpoint is
+//! [`Freshness::Fresh`] if it is known to have reached that, [`Freshness::PossiblyFresh`] if it may have
+//! reached it and would reject the read otherwise, and [`Freshness::Stale`] if neither holds.
 
 use crate::policy::cluster::Cluster;
 use crate::policy::endpoint::EndpointState;
@@ -101,8 +101,8 @@
     }
 }
 
-/// An endpoint may have reached a position if its lag is unchanged, if it has had as much time to catch up as
-/// its lag was, or if its position is unknown.
+/// An endpoint may have reached a position if its lag is the same as at its report, if it has had as much
+/// time to catch up as its lag was, or if its position is unknown.
 fn may_have_reached(endpoint: &EndpointState, required: RequiredPosition, cluster: &Cluster) -> bool {
     let (Some(lag), Some(reported_at)) =
         (endpoint.replication().lag(cluster.clock()), endpoint.replication().reported_at())
@@ -133,7 +133,8 @@
     now + lag.clamp(Span::ZERO, longest).max(settings.connect_timeout)
 }
 
-/// Whether a log position is about to be too old for reads, or unknown and no read may find it out.
+/// Whether a health check should find out a log position: it is about to be too old for reads, or it is
+/// unknown and endpoints serve stale reads, so that no read may be sent to find it out.
 pub(crate) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness() * REFRESH_AGE_SHARE;
     let is_local = endpoint.listing().zone() == cluster.settings().zone;
--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -1,9 +1,11 @@
 //! Giving up: why a request is not sent any further, and which final answer it gets.
 //!
-//! A request is rejected where a retry by its client is harmless, with a Retry-After if the settings allow
-//! one. Otherwise it fails: it may have been executed. The reason is named at each place that gives up; it
-//! stands in no log line and in no counter, but for load shedding. Queries that arrive during the graceful
-//! shutdown are rejected before they reach the policy, see `net::shutdown`.
+//! A request is rejected where a retry by its client is harmless ([`retry::may_client_retry`]), with a
+//! Retry-After if the settings allow one. Otherwise it fails: it may have been executed. The reason is
+//! named at each place that gives up; it stands in no log line and in no counter, but for load shedding.
+//!
+//! Rejected without this module: queries that arrive while the process drains (`net::shutdown`), queries for
+//! which there is no memory, and requests of a class that the settings do not have.
 
 use fastrand::Rng;
 
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -3,13 +3,19 @@
 //! Each of these steps chooses one endpoint at most; the read goes to the first one that admission control
 //! allows (see [`Admission::admits`]):
 //!
-//! 1. a replica that is fresh, or may be and has no other request of this pooler, first in the pooler's zone;
+//! 1. a replica that is fresh, or is in the pooler's zone, may be fresh and has no other request of this
+//!    pooler;
+//!    first in the pooler's zone;
 //! 2. a replica that may be fresh, if there is none for step 1;
 //! 3. the primary, as far as it has capacity to spare;
 //! 4. an ejected endpoint, as the last resort.
 //!
-//! An endpoint that was tried before is not tried again. If no step chooses an endpoint, the read waits in
-//! the queue of its group.
+//! An endpoint that was tried before is not tried again. An ejected endpoint whose trial is due counts as
+//! healthy in the first three steps.
+//!
+//! If none is chosen, the read is given up where there is no endpoint at all ([`GiveUpReason::NoEndpoint`])
+//! or admission control refused one ([`GiveUpReason::NoCapacity`]); a refusal in step 2 does not count.
+//! Otherwise the read waits in the queue of its group.
 
 use fastrand::Rng;
 
@@ -124,7 +130,7 @@
     }
 
     /// A replica that may be fresh: if it is not, it rejects the read without executing it. One that cannot
-    /// answer in time leaves the read in the queue for the primary.
+    /// answer in time counts as none.
     fn possibly_fresh_replica(&self) -> Step {
         if !self.preferred_replicas.is_empty() {
             return Step::NoCandidate;
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -13,11 +13,15 @@
 //! | The final answer is not due | [`check_dispatch`] | `Deadline` |
 //!
 //! An attempt in flight counts as one that may have run. A repeat is harmless if the class is idempotent,
-//! or if its requests carry an idempotency key and the deduplication window is open, counted from the first
-//! attempt that may have been executed. The latest time is the deadline or the end of that window.
-//! [`next_attempt`] is checked once more where an attempt is sent.
+//! or if its requests carry an idempotency key and the deduplication window allows it: the window counts
+//! from the first attempt that may have run. A repeat starts before the end of the window less the longer
+//! of `connect_timeout` and [`MAX_PROCESS_PAUSE`], and must be answered by the earlier of the deadline and
+//! the end of the window less [`MAX_PROCESS_PAUSE`]. An answer is of use until the deadline, or until the
+//! latency objective if the class gives late answers no weight.
 //!
-//! A token that was taken is not given back if a later rule forbids the retry. A hedged request always costs
+//! [`next_attempt`] is checked once more where an attempt is sent. After the first two rules, a request
+//! that has another attempt in flight (a hedged one) waits for that; by them it is given up all the same. A
+//! token that was taken is not given back if a later rule forbids the retry. A hedged request always costs
 //! a token, see [`replacement`].
 
 mod budget;
@@ -120,7 +124,7 @@
     is_at_primary: bool,
     budget: &mut RetryBudget,
 ) -> Result<(), GiveUpReason> {
-    // A retry would find the primary as overloaded.
+    // This costs no token: a retry would find the primary as overloaded.
     if is_at_primary && outcome == Outcome::Overloaded {
         return Err(GiveUpReason::PrimaryOverloaded);
     }
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -20,9 +20,9 @@
 use crate::time::{LocalInstant, Span};
 use event_rate::EventRate;
 
-/// Upper limit of the share of reads for an endpoint that is warming up, in multiples of its capacity ...
+/// Largest share of its group's reads for an endpoint that is warming up, in multiples of its capacity.
 const MAX_READ_SHARE: f64 = 1.0;
-/// ... and of its overload limit; the rest is a margin, since reads differ in the work that they take.
+/// Part of the overload limit that reads may take up; the rest is a margin, since reads differ in their work.
 const READ_SHARE_OF_LIMIT: f64 = 0.8;
 /// Share of the overload limit for requests that need a primary that is warming up.
 const PRIMARY_SHARE_OF_LIMIT: f64 = 0.5;
@@ -95,7 +95,7 @@
         self.traffic.retain(|group, _| cluster.group(*group).is_some());
     }
 
-    /// Gives an endpoint that has started its first budget.
+    /// Gives an endpoint that has started the budget of a new one, see [`INITIAL_BUDGET`].
     pub(crate) fn endpoint_started(&mut self, endpoint: EndpointKey) {
         if let Some(budget) = self.budgets.get_mut(endpoint) {
             *budget = TokenBucket::full(INITIAL_BUDGET);
@@ -156,8 +156,8 @@
         self.budgets[to] = budget;
     }
 
-    /// What an endpoint may get from this pooler by now: its overload limit, of which the pooler has the part
-    /// that it usually has of the group's traffic.
+    /// The budget of an endpoint, refilled until now; [`spend`](Self::spend) stores it. It is refilled by
+    /// its overload limit, of which the pooler has the part that it usually has of the group's traffic.
     fn budget(&self, endpoint: EndpointKey, cluster: &Cluster) -> TokenBucket {
         let settings = cluster.settings();
         let limit = settings.overload_limit.map_or(MAX_OVERLOAD_LIMIT, |limit| limit.min(MAX_OVERLOAD_LIMIT));
