--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -7,7 +7,7 @@
 mod latency;
 
 use crate::policy::cluster::{Cluster, EndpointKey};
-use crate::policy::request::PendingRequest;
+use crate::policy::request::{PendingRequest, QuotaUse};
 use crate::policy::token_bucket::TokenBucket;
 use crate::settings::{RequestClass, Settings};
 use crate::time::{LocalInstant, Span};
@@ -32,15 +32,6 @@
 /// Lowest priority that others are compared with, in case every class has none.
 const MIN_HIGHEST_PRIORITY: f64 = 1e-9;
 
-/// Whether a request is within the quota of its tenant.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum QuotaUse {
-    /// It is, or its tenant has no quota.
-    Within,
-    /// It is beyond: its priority is lower.
-    Beyond,
-}
-
 /// The latencies of the classes and the quotas of the tenants.
 pub(crate) struct Admission {
     /// Latency of successful attempts, by class.
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -3,9 +3,8 @@
 //! Each of these steps chooses one endpoint at most; the read goes to the first one that admission control
 //! allows (see [`Admission::admits`]):
 //!
-//! 1. a replica that is fresh, or is in the pooler's zone, may be fresh and has no other request of this
-//!    pooler;
-//!    first in the pooler's zone;
+//! 1. a replica that is fresh, first in the pooler's zone; in that zone also one that may be fresh and has no
+//!    other request of this pooler;
 //! 2. a replica that may be fresh, if there is none for step 1;
 //! 3. the primary, as far as it has capacity to spare;
 //! 4. an ejected endpoint, as the last resort.
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -6,7 +6,6 @@
 use std::sync::Arc;
 
 use crate::interface::{Outcome, Request, RequestId};
-use crate::policy::admission::QuotaUse;
 use crate::policy::cluster::EndpointKey;
 use crate::policy::freshness::RequiredPosition;
 use crate::settings::RequestClass;
@@ -14,6 +13,15 @@
 pub(crate) use attempt::Attempt;
 pub(crate) use table::{AttemptInFlight, EndedAttempt, RequestKey, RequestTable};
 
+/// Whether a request is within the quota of its tenant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum QuotaUse {
+    /// It is, or its tenant has no quota.
+    Within,
+    /// It is beyond: its priority is lower.
+    Beyond,
+}
+
 /// What the policy has found out about a request when it was received.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestTerms {
