--- a/src/policy/request/table.rs
+++ b/src/policy/request/table.rs
@@ -127,3 +127,6 @@
         self.requests.iter().map(|(key, request)| (*key, request))
     }
 }
+
+#[cfg(test)]
+mod tests;
