--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -42,7 +42,8 @@
     budget: MemoryBudget,
     /// How long a connection stays idle until it is closed.
     idle_timeout: Duration,
-    /// How long a connection may take to become ready for a query, and a reply to end once it has begun.
+    /// How long a connection may take to become ready for a query, and a reply to end once it has begun:
+    /// neither waits for the execution of a query.
     connect_timeout: Duration,
 }
 
@@ -81,7 +82,8 @@
         self.pool.close_idle_connections(endpoint);
     }
 
-    /// Starts a task. Returns the connection that carries it, if there is one.
+    /// Starts a task. Returns the connection that was chosen; it may be closed already, with the completion
+    /// of the task queued. Returns `None`, with the completion queued, where none could be opened.
     pub fn send(
         &mut self,
         task: Task,
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -80,6 +80,7 @@
             State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
             State::Busy { .. } if query == WriteStatus::Pending => Outcome::ConnectFailed,
             State::Busy { reply, .. } => reply.outcome().unwrap_or(Outcome::ConnectionReset),
+            // No exchange: never reported.
             State::Idle => Outcome::ConnectionReset,
         }
     }
@@ -96,6 +97,7 @@
                     Outcome::Error
                 }
             },
+            // No exchange: never reported.
             State::Idle => Outcome::Error,
         }
     }
@@ -112,6 +114,7 @@
             }
             State::Busy { .. } if query == WriteStatus::Pending => Expiry::Failed(Outcome::ConnectFailed),
             State::Busy { response_started: true, .. } => Expiry::ReplyStalled,
+            // Idle has no exchange: never reported.
             State::Busy { .. } | State::Idle => Expiry::Failed(Outcome::Timeout),
         }
     }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Has the events of the socket reported.
+    /// Registers the socket for events.
     pub fn register(&mut self, id: ConnectionId, reactor: &mut Reactor) -> io::Result<()> {
         let interest = Interest::READABLE | Interest::WRITABLE;
         reactor.register(&mut self.stream, EventSource::Discovery(id), interest)
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -30,6 +30,7 @@
     is_closing: bool,
     /// Whether connections may wait in the listener's queue until the connection limit allows them.
     has_backlog: bool,
+    /// Shared by the two warnings of the acceptor: each mutes the other.
     log_limiter: LogLimiter,
 }
 
@@ -45,7 +46,7 @@
         })
     }
 
-    /// Has the listening socket closed once all connections in its queue are accepted. Closing it earlier
+    /// Closes the listening socket once all connections in its queue are accepted. Closing it earlier
     /// would reset them, with the queries that their clients may have sent.
     pub(super) fn close_once_queue_is_empty(&mut self) {
         self.is_closing = true;
--- a/src/net/frontend/error.rs
+++ b/src/net/frontend/error.rs
@@ -4,7 +4,9 @@
 
 use crate::net::buffer::CapacityExceeded;
 
-/// The connection is closed by its client, broken, or out of memory, and has to be removed.
+/// The connection has to be removed: its client has closed the socket, has sent Terminate or a cancel request
+/// or has missed a deadline while output is unread or the connection is closing; or the socket has failed,
+/// or the memory budget is used up.
 #[derive(Debug, thiserror::Error)]
 #[error("the client connection is closed")]
 pub(super) struct ConnectionClosed;
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -99,7 +99,7 @@
         self.finish_cycle(id, result, context);
     }
 
-    /// Handles a connection that its client has closed. Unread input is lost.
+    /// Handles a connection that its client has closed. Unread input is lost, except a cancel request.
     pub fn client_disconnected(&mut self, id: ConnectionId, context: &mut Context) {
         self.finish_cycle(id, Err(ConnectionClosed), context);
     }
--- a/src/net/frontend/protocol_state.rs
+++ b/src/net/frontend/protocol_state.rs
@@ -62,7 +62,8 @@
         self.phase
     }
 
-    /// Returns whether the client has sent a query that could be executed.
+    /// Returns whether a query of the client was passed on for execution or an empty one was answered. A
+    /// query that was rejected before that and an empty one that waits for an endpoint do not count.
     pub(super) fn has_queried(&self) -> bool {
         self.has_queried
     }
--- a/src/net/frontend/service_status.rs
+++ b/src/net/frontend/service_status.rs
@@ -27,7 +27,7 @@
         self.drain.is_some()
     }
 
-    /// Has the connections drained.
+    /// Starts to drain the connections.
     pub(super) fn start_draining(&mut self, drain: Drain) {
         self.drain = Some(drain);
     }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -72,11 +72,12 @@
     }
 
     /// Returns whether every query received is answered, although the answer may be still to be written. An
-    /// incomplete message is not a query.
+    /// incomplete message is not a query. An empty query that waits for an endpoint is left unanswered.
     pub(super) fn is_drained(&self) -> bool {
         if self.phase() == Phase::Busy || self.phase().is_closing() {
             return false;
         }
+        // With empty output all complete messages were processed. Otherwise unread input may hold a query.
         self.output.is_empty() || self.input.is_empty()
     }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -57,7 +57,8 @@
     pub session_token: Option<ClusterInstant>,
     /// Whether the query carries an idempotency key.
     pub has_idempotency_key: bool,
-    /// The session that the query belongs to, where it names one.
+    /// Names the session that the query belongs to: the first quoted string of the statement, if it has one.
+    /// Escaped quotes are not handled: the key of `'it''s'` is `it`.
     pub session: Option<String>,
     /// The statement to forward.
     pub statement: Statement,
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -1,6 +1,15 @@
 //! Connects the [`Policy`] to the sockets: translates the [`Event`]s of the connections for the policy and
 //! executes the actions that it returns. The policy takes every decision except those that the limits of the
 //! process force.
+//!
+//! - [`startup`]: builds the pooler and runs it.
+//! - [`queries`]: the queries of clients, their disconnects and cancel requests.
+//! - [`actions`]: executes the actions of the policy.
+//! - [`completions`]: the ends of attempts and health checks.
+//! - [`active_requests`]: the requests that a client or an attempt still waits for.
+//! - [`endpoints`]: the endpoint list and the failures of its watch.
+//! - [`reload`]: reads the configuration file again after SIGHUP.
+//! - [`signals`]: the signals of the process.
 
 mod actions;
 mod active_requests;
@@ -39,7 +48,7 @@
     queries: QueryTranslator,
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
-    /// The timeout of a health check.
+    /// The timeout of a health check: the connect timeout, since neither waits for a query to be executed.
     health_check_timeout: Duration,
     reload: ConfigReload,
     shutdown: GracefulShutdown,
--- a/src/net/pooler/reload.rs
+++ b/src/net/pooler/reload.rs
@@ -10,7 +10,7 @@
 
 /// Interval between two attempts to read the configuration.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How often reading is retried: for the 4 s after which discovery counts on the new address.
+/// How often reading is retried: 20 times 200 ms = 4 s, after which discovery counts on the new address.
 const MAX_RETRIES: u32 = 20;
 
 /// The configuration file, and how often reading it may still be retried for the last signal.
@@ -32,8 +32,9 @@
         Ok(config)
     }
 
-    /// Allows retries where the file could not be read: the system may lack a descriptor for a moment. An
-    /// invalid file is not retried. Returns whether a retry is due.
+    /// Allows retries after the first failure where the file could not be read: the system may lack a
+    /// descriptor for a moment. A file that is invalid at the first read is not retried. Returns whether a
+    /// retry is due.
     fn allow_retries_after(&mut self, error: &ConfigError) -> bool {
         let may_pass = matches!(error, ConfigError::Read { .. });
         if may_pass {
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Retries a reload that has failed, unless another one has succeeded since.
+    /// Retries a reload that has failed, unless another one has succeeded since. Schedules the next retry
+    /// after any error, also of an invalid file. Only the first failure is counted and logged.
     pub(super) fn retry_reload(&mut self, context: &mut Context) {
         if self.reload.take_retry() && self.try_reload(context).is_err() {
             schedule_retry(context);
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -60,8 +60,9 @@
 }
 
 impl ConnectionLimits {
-    /// Divides the configured number of file descriptors between clients and endpoints. A client has at
-    /// most one attempt in flight, so both sides get half of them.
+    /// Divides the configured number of file descriptors in half between clients and endpoints. Usually one
+    /// attempt for each client; hedged requests and health checks compete for the same half, and when it is
+    /// used up attempts end as [`NotSent`](crate::interface::Outcome::NotSent).
     fn new(descriptors: usize) -> Result<ConnectionLimits, ServeError> {
         let sockets = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let clients = sockets / 2;
@@ -104,7 +105,8 @@
         let policy = Policy::new(settings.clone(), config.seed)?;
         let signals = register_signals(context)?;
         let limits = ConnectionLimits::new(config.max_descriptors)?;
-        // Half the memory is for buffers, statements and values, whichever of them needs it.
+        // Half the memory is for buffers, statements and values, whichever of them needs it. The budget does
+        // not count the other half: the rest of the process uses it.
         let budget = MemoryBudget::new(config.max_memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
@@ -135,7 +137,7 @@
     }
 }
 
-/// Has the reactor report the signals that the pooler handles.
+/// Registers the signals that the pooler handles with the reactor.
 fn register_signals(context: &mut Context) -> io::Result<Signals> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])?;
     context.reactor.register(&mut signals, EventSource::Signals, Interest::READABLE)?;
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -98,7 +98,7 @@
     Ok(start..end.ok_or(QueryError::UnterminatedComment)?)
 }
 
-/// Returns the first quoted string of the statement, which names the session.
+/// Returns the first quoted string of the statement, which names the session. Escaped quotes are not handled.
 fn first_quoted_string(statement: &str) -> Option<&str> {
     let (_, after_quote) = statement.split_once(QUOTE)?;
     let (quoted, _) = after_quote.split_once(QUOTE)?;
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -1,5 +1,16 @@
 //! The comment before a client's statement: pairs of names and values with commas between them, such as
 //! `id=a1, c=read, cluster=2, d=500`.
+//!
+//! | Field | Meaning | Unit or form | Required | Term in the code |
+//! | --- | --- | --- | --- | --- |
+//! | `id` | identifier of the request | text | yes | `id` |
+//! | `c` | name of the request class | text | yes | `class` |
+//! | `t` | name of the tenant | text; empty if missing | no | `tenant` |
+//! | `cluster` | group that holds the data | integer from 0 | yes | `group` |
+//! | `d` | how long the client waits | milliseconds, integer above 0 | yes | `timeout` |
+//! | `k` | idempotency key, for the endpoint | text | where the class needs it | `has_idempotency_key` |
+//! | `r` | marks a retry by the client | any text; accepted and only checked | no | `client_retry` |
+//! | `after` | time of the commit that must be seen | Unix time (ms); 0 for none | no | `session_token` |
 
 use std::ops::Range;
 use std::time::Duration;
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -49,7 +49,7 @@
 /// The request in the first packet of a client.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Startup {
-    /// Starts a session.
+    /// Starts a session. The user, the database and the options are ignored, and no password is asked for.
     Session,
     /// Requests an encrypted connection.
     Encryption,
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Has the events of a socket or of the signals reported under the name `source`. Fails if the
+    /// Registers a socket or the signals: their events are reported under the name `source`. Fails if the
     /// system has no memory for the registration.
     pub fn register(
         &mut self,
--- a/src/net/reactor/timers.rs
+++ b/src/net/reactor/timers.rs
@@ -15,7 +15,8 @@
     RetryAccept,
     /// Connections of idle clients are looked for.
     IdleSweep,
-    /// A deadline of a client connection.
+    /// A client connection has missed its deadline, is to run its next cycle (input is left that no event
+    /// announces), or is to be registered again after the system lacked memory for that.
     Client(ConnectionId),
     /// A deadline of a connection to an endpoint.
     Backend(ConnectionId),
@@ -23,7 +24,8 @@
     Discovery(ConnectionId),
     /// The grace period of the shutdown is over.
     GracePeriodOver,
-    /// The kill is near: requests behind which other queries wait are ended. Repeats until the process ends.
+    /// The kill is near: blocking requests, which have unread input behind them, are ended. Repeats until
+    /// the process ends.
     EndBlockingRequests,
     /// Reading the configuration is tried again after an error.
     RetryReload,
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -7,18 +7,20 @@
 //! | 0 | The grace period starts. (1) | [`GracefulShutdown::start`] |
 //! | [`GRACE_PERIOD`] | Draining starts. (2) | `Pooler::start_draining` |
 //! | while draining | A connection is closed once all its queries are answered. | `Connection::can_close` |
-//! | while draining | A query that is received now is rejected. (3) | [`Drain::rejects`] |
+//! | while draining | A query that is received now is rejected with 57P03. (3) | [`Drain::rejects`] |
 //! | [`KILL_MARGIN`] before the kill | Blocking requests are ended. (4) | `Pooler::end_blocking_requests` |
-//! | longest deadline + [`KILL_DELAY`] | The earliest kill. (5) | [`GracefulShutdown::earliest_kill`] |
-//! | the last client connection is closed | The process ends. (6) | `Pooler::is_finished` |
+//! | counted deadline (5) + [`KILL_DELAY`] | The earliest kill. | [`GracefulShutdown::earliest_kill`] |
+//! | the listener and the last client connection are closed | The process ends. (6) | `Pooler::is_finished` |
 //!
 //! 1. Connections and queries are accepted as before, until the clients have learned of the shutdown.
 //! 2. The connections in the listener's queue are accepted, then it is closed. Closing it earlier would reset
 //!    them, with the queries sent on them.
 //! 3. The process may be killed before the query ends. A query that was received earlier is executed.
-//! 4. A request blocks the queries that its client has sent behind it. It gets its final answer early, so
-//!    that those are answered before the kill. Repeated every [`BLOCKING_REQUEST_INTERVAL`].
-//! 5. A sum. Of the longest deadline of all classes, [`MAX_COUNTED_DEADLINE`] at most counts.
+//! 4. A blocking request has unread input of its client behind it, be it a complete query or not. It gets its
+//!    final answer early, so that queries in that input are answered before the kill. Repeated every
+//!    [`BLOCKING_REQUEST_INTERVAL`].
+//! 5. The longest deadline of all classes, of which [`MAX_COUNTED_DEADLINE`] at most counts: a request with a
+//!    longer deadline may be cut off by the kill.
 //! 6. Only while draining. Attempts that no client waits for are dropped.
 
 use std::time::{Duration, Instant};
@@ -96,7 +98,7 @@
         self.phase == Phase::Draining
     }
 
-    /// Has the blocking requests searched for again after an interval.
+    /// Schedules the next search for blocking requests.
     pub fn schedule_search_for_blocking_requests(&self, reactor: &mut Reactor) {
         reactor.set_timer(reactor.now() + BLOCKING_REQUEST_INTERVAL, TimerEvent::EndBlockingRequests);
     }
