--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -19,9 +19,13 @@
 const USER: &str = "app";
 const DATABASE: &str = "shop";
 
-/// How long a query may wait in the output buffer. It states how much time its client has left, which may be
-/// at most 0.15 s too much when the endpoint receives it.
-const QUERY_WRITE_TIMEOUT: Duration = Duration::from_millis(100);
+/// A query states how much time its client has left. When the endpoint receives it, that may be too much by
+/// at most this: otherwise the endpoint would work for a client that no longer waits.
+const MAX_TIMEOUT_EXCESS: Duration = Duration::from_millis(150);
+/// The part of [`MAX_TIMEOUT_EXCESS`] that is left for the way from the socket to the endpoint.
+const TRANSMISSION_MARGIN: Duration = Duration::from_millis(50);
+/// How long a query may wait in the output buffer.
+const QUERY_WRITE_TIMEOUT: Duration = MAX_TIMEOUT_EXCESS.saturating_sub(TRANSMISSION_MARGIN);
 
 /// How far an exchange has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +55,8 @@
     /// The address of the endpoint when the connection was opened.
     address: SocketAddr,
     stream: TcpStream,
-    /// How long it may take to become ready for a query, and a reply to end once it has begun.
+    /// How long it may take to become ready for a query, and a reply to end once it has begun: neither waits
+    /// for the execution of a query. The limit of health checks for the same reason.
     connect_timeout: Duration,
     /// When the present state has lasted too long.
     state_deadline: Instant,
@@ -85,7 +90,7 @@
         }
     }
 
-    /// Has the events of the socket reported.
+    /// Registers the socket for events.
     pub fn register(&mut self, id: ConnectionId, reactor: &mut Reactor) -> io::Result<()> {
         let interest = Interest::READABLE | Interest::WRITABLE;
         reactor.register(&mut self.stream, EventSource::Backend(id), interest)
@@ -173,7 +178,7 @@
         progress
     }
 
-    /// Ends the exchange because the present state has lasted too long.
+    /// Returns how the exchange ends because the present state has lasted too long.
     pub fn expire(&mut self, now: Instant) -> Progress {
         match self.state.expiry(now, self.connect_timeout, self.write_status()) {
             Expiry::ReplyStalled => self.reject_malformed(),
@@ -320,12 +325,13 @@
         }
     }
 
-    /// Ends the exchange because the connection has ended.
+    /// Returns how the exchange ends because the connection has ended.
     fn connection_lost(&self) -> Progress {
         Progress::Failed(self.state.outcome_of_lost_connection(self.write_status()))
     }
 
-    /// Ends the exchange because the peer sent data that belongs to no valid reply.
+    /// Returns how the exchange ends because the peer sent data that belongs to no valid reply. Discards the
+    /// reply unless it proves that the request was not executed.
     fn reject_malformed(&mut self) -> Progress {
         Progress::Malformed(self.state.discard_malformed_reply())
     }
--- a/src/net/frontend/deadline.rs
+++ b/src/net/frontend/deadline.rs
@@ -5,6 +5,9 @@
 /// Time that a client may take to send its first query and to complete a message. Keeps clients that do
 /// neither from using up the connection limit.
 const CLIENT_SEND_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time that a client may take to read its responses however short the deadlines of requests are, to which
+/// [`READ_MARGIN`] is added.
+const MIN_READ_TIME: Duration = Duration::from_secs(2);
 /// Time that a client may take to read its responses beyond the longest deadline of any request.
 /// After that no client waits for them.
 const READ_MARGIN: Duration = Duration::from_millis(500);
@@ -13,7 +16,7 @@
 
 /// The time that clients may take to read their responses, where no request has a longer deadline than this.
 pub(super) fn response_timeout(longest_deadline: Duration) -> Duration {
-    longest_deadline.max(CLIENT_SEND_TIMEOUT) + READ_MARGIN
+    longest_deadline.max(MIN_READ_TIME) + READ_MARGIN
 }
 
 /// What a client has to do next.
--- a/src/net/pooler/signals.rs
+++ b/src/net/pooler/signals.rs
@@ -1,6 +1,6 @@
 //! Handles the signals of the process.
 
-use signal_hook::consts::{SIGHUP, SIGUSR1};
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 
 use super::Pooler;
 use crate::net::Context;
@@ -13,7 +13,8 @@
             match signal {
                 SIGUSR1 => tracing::info!("counters: {}", context.counters),
                 SIGHUP => self.reload(context),
-                // The rest of the registered signals, SIGTERM and SIGINT.
+                SIGTERM | SIGINT => self.shutdown.start(&mut context.reactor),
+                // No other signal is registered. To end is the default of an unhandled signal.
                 _ => self.shutdown.start(&mut context.reactor),
             }
         }
