--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -333,7 +333,7 @@
     /// Returns how the exchange ends because the peer sent data that belongs to no valid reply. Discards the
     /// reply unless it proves that the request was not executed.
     fn reject_malformed(&mut self) -> Progress {
-        Progress::Malformed(self.state.discard_malformed_reply())
+        Progress::Malformed(self.state.outcome_of_malformed_reply())
     }
 
     fn write_status(&self) -> WriteStatus {
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -87,7 +87,7 @@
 
     /// How the exchange ends when the peer has sent data that belongs to no valid reply. The request may have
     /// been executed and the reply is discarded, unless an error in it proves that it was not executed.
-    pub fn discard_malformed_reply(&mut self) -> Outcome {
+    pub fn outcome_of_malformed_reply(&mut self) -> Outcome {
         match self {
             State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
             State::Busy { reply, .. } => match reply.outcome() {
--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -58,7 +58,7 @@
     #[case] outcome: Outcome,
     #[case] reply_is_kept: bool,
 ) {
-    assert_eq!(state.discard_malformed_reply(), outcome);
+    assert_eq!(state.outcome_of_malformed_reply(), outcome);
     let (_, reply) = state.take_exchange().unwrap();
     assert_eq!(reply.has_started(), reply_is_kept);
 }
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -101,7 +101,7 @@
                 return Ok(());
             }
             let is_stuck = self.session.unprocessed_bytes() == unprocessed_before;
-            if is_stuck && !self.close_if_message_cannot_fit(id, cycle.context)? {
+            if is_stuck && !self.close_if_out_of_memory(id, cycle.context)? {
                 return Ok(());
             }
         }
@@ -126,12 +126,12 @@
         Ok(Progress::LimitReached)
     }
 
-    fn close_if_message_cannot_fit(
+    fn close_if_out_of_memory(
         &mut self,
         id: ConnectionId,
         context: &mut Context,
     ) -> Result<bool, ConnectionClosed> {
-        let is_closing = self.session.close_if_message_cannot_fit(&mut context.counters)?;
+        let is_closing = self.session.close_if_out_of_memory(&mut context.counters)?;
         if is_closing {
             self.update_deadline(id, context);
         }
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -1,9 +1,10 @@
 //! The client side of the pooler: accepts connections, reads queries and writes responses.
 //!
-//! Each module uses only modules below it, apart from the types at the end:
+//! Each module uses only modules below it, apart from the types at the end and from [`connection_limit`],
+//! which is a part of [`Frontend`] in a file of its own:
 //!
 //! - [`Frontend`]: hands each event to the connection that it is for.
-//! - [`accepting`]: how it accepts connections.
+//! - [`connection_limit`]: how it accepts connections up to the limit.
 //! - [`acceptor`]: the listening socket.
 //! - [`idle`]: decides which idle connections are closed when many are open.
 //! - [`connections`]: the open connections, their limit, and which one is evicted for a new one.
@@ -16,10 +17,10 @@
 //!   - [`deadline`]: what is due from the client, and until when.
 //! - [`cycle`], [`service_status`], [`error`], [`log_limiter`]: used by several of them.
 
-mod accepting;
 mod acceptor;
 mod arrivals;
 mod connection;
+mod connection_limit;
 mod connections;
 mod cycle;
 mod deadline;
@@ -184,9 +185,9 @@
         }
     }
 
-    /// Returns the clients whose running query has more input behind it.
-    pub fn clients_with_waiting_input(&self) -> Vec<ConnectionId> {
-        self.connections.find_all(Session::has_input_behind_query)
+    /// Returns the clients whose running query is a blocking request: any unread input behind it counts.
+    pub fn clients_with_blocking_requests(&self) -> Vec<ConnectionId> {
+        self.connections.find_all(Session::has_blocking_request)
     }
 
     /// Completes a cycle: closes a drained connection during the shutdown, updates the client's deadline,
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -55,8 +55,8 @@
         self.cancel_key == key && self.phase() == Phase::Busy
     }
 
-    /// Returns whether more input has arrived behind the running query.
-    pub(super) fn has_input_behind_query(&self) -> bool {
+    /// Returns whether the running query is a blocking request: any unread input behind it counts.
+    pub(super) fn has_blocking_request(&self) -> bool {
         self.phase() == Phase::Busy && !self.input.is_empty()
     }
 
@@ -167,9 +167,10 @@
         Ok(())
     }
 
-    /// Closes a session whose input buffer is full although the client is to send the rest of a message: that
-    /// rest would never fit, and the buffer would keep its memory. Returns whether it is closed.
-    pub(super) fn close_if_message_cannot_fit(
+    /// Closes a session whose input buffer cannot grow for the rest of a message. Since messages that are too
+    /// long for any buffer are rejected earlier, the memory budget is used up, and the buffer would occupy
+    /// its share without end. Returns whether the session is closed.
+    pub(super) fn close_if_out_of_memory(
         &mut self,
         counters: &mut Counters,
     ) -> Result<bool, ConnectionClosed> {
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -100,9 +100,9 @@
         self.frontend.start_draining(drain, context);
     }
 
-    /// Ends each request behind which others wait on its connection: these must be answered before the kill.
+    /// Ends each blocking request: the queries behind it on its connection must be answered before the kill.
     fn end_blocking_requests(&mut self, context: &mut Context) {
-        for client in self.frontend.clients_with_waiting_input() {
+        for client in self.frontend.clients_with_blocking_requests() {
             if let Some(id) = self.requests.request_of(client) {
                 self.notify_policy(interface::Event::ShutdownImminent { id }, context);
             }
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -70,7 +70,7 @@
     ) -> Request {
         let now = reactor.now();
         let waited = now.saturating_duration_since(received_at);
-        let session = query.session.as_deref().filter(|_| self.uses_sessions(class));
+        let session = query.session_key.as_deref().filter(|_| self.uses_sessions(class));
         Request {
             id,
             class,
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -77,8 +77,8 @@
         timeout: fields.timeout,
         session_token: fields.session_token,
         has_idempotency_key: fields.has_idempotency_key,
-        session: first_quoted_string(statement).map(String::from),
-        statement: Statement { text: sql.into(), timeout: fields.timeout_position, memory: None },
+        session_key: first_quoted_string(statement).map(String::from),
+        statement: Statement { text: sql.into(), timeout_position: fields.timeout_position, memory: None },
     }
 }
 
--- a/src/net/postgres/tests/query.rs
+++ b/src/net/postgres/tests/query.rs
@@ -24,7 +24,7 @@
 }
 
 fn timeout_text(query: &Query) -> &str {
-    &query.statement.text[query.statement.timeout.clone()]
+    &query.statement.text[query.statement.timeout_position.clone()]
 }
 
 #[test]
@@ -35,7 +35,7 @@
     assert_eq!(query.tenant, "");
     assert_eq!(query.session_token, None);
     assert!(!query.has_idempotency_key);
-    assert_eq!(query.session, None);
+    assert_eq!(query.session_key, None);
     assert_eq!(&*query.statement.text, MINIMAL);
     assert_eq!(timeout_text(&query), "500");
 }
@@ -47,7 +47,7 @@
     assert_eq!(query.tenant, "shop");
     assert_eq!(query.session_token, Some(ClusterInstant::from_secs(1_700_000_000.5)));
     assert!(query.has_idempotency_key);
-    assert_eq!(query.session.as_deref(), Some("user 7"));
+    assert_eq!(query.session_key.as_deref(), Some("user 7"));
 }
 
 #[test]
@@ -95,7 +95,7 @@
 #[case::first_of_two("SELECT 'a', 'b'", Some("a"))]
 fn session_is_the_first_quoted_string(#[case] statement: &str, #[case] expected: Option<&str>) {
     let query = parse_valid(&format!("/*id='x',c=r,cluster=2,d=5*/ {statement}"));
-    assert_eq!(query.session.as_deref(), expected);
+    assert_eq!(query.session_key.as_deref(), expected);
 }
 
 #[rstest]
