--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -22,7 +22,7 @@
             }
             Action::CancelAttempt { id, attempt } => {
                 if let Some(connection) = self.requests.connection_of_attempt(&id, attempt) {
-                    self.cancel_attempt(connection, context);
+                    self.backend.cancel(connection, context);
                 }
             }
             Action::Reject { id, retry_after } => {
@@ -60,10 +60,11 @@
         self.backend.send(Task::HealthCheck, endpoint, self.health_check_timeout, context);
     }
 
-    /// Sends the final answer to a request, unless its client has one or has disconnected.
+    /// Sends the final answer to a request, unless its client has one or no longer waits. Cancels attempts
+    /// whose queries are not sent yet, and removes the request unless an attempt of it is in flight.
     pub(super) fn finish_request(&mut self, id: &RequestId, response: Response, context: &mut Context) {
         if let Some(client) = self.requests.take_client(id) {
-            self.respond(client, response, context);
+            self.frontend.respond(client, response, context);
         }
         // An attempt that has not reached its endpoint must not begin after the final answer.
         for connection in self.requests.connections(id) {
--- a/src/net/pooler/active_requests/mod.rs
+++ b/src/net/pooler/active_requests/mod.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// A request whose client has disconnected.
+/// A request whose client has disconnected or cancelled it.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct AbandonedRequest {
     /// The request.
@@ -113,9 +113,9 @@
         Some(if request.client.is_some() { ClientState::Waiting } else { ClientState::NotWaiting })
     }
 
-    /// Records that a client has disconnected; none where it waits for no request. The request stays in the
+    /// Records that a client no longer waits; none where it waits for no request. The request stays in the
     /// table until [`remove_if_finished`](Self::remove_if_finished).
-    pub fn client_disconnected(&mut self, client: ConnectionId) -> Option<AbandonedRequest> {
+    pub fn abandon(&mut self, client: ConnectionId) -> Option<AbandonedRequest> {
         let id = self.by_client.remove(&client)?;
         let request = self.requests.get_mut(&id)?;
         request.client = None;
--- a/src/net/pooler/active_requests/tests.rs
+++ b/src/net/pooler/active_requests/tests.rs
@@ -39,7 +39,7 @@
     assert!(table.start_attempt(ID.into()).is_none());
     assert_eq!(table.attempt_finished(ID, 0), None);
     assert_eq!(table.connection_of_attempt(ID, 0), None);
-    assert_eq!(table.client_disconnected(client), None);
+    assert_eq!(table.abandon(client), None);
     assert_eq!(table.take_client(ID), None);
     table.attempt_sent(ID, 0, Some(client));
     table.remove_if_finished(ID);
@@ -101,7 +101,7 @@
     let [client] = connections();
     let mut table = table_with_request(client);
     assert_eq!(table.take_client(ID), Some(client));
-    assert_eq!(table.client_disconnected(client), None);
+    assert_eq!(table.abandon(client), None);
 }
 
 #[test]
@@ -109,10 +109,10 @@
     let [client, other, connection] = connections();
     let mut table = table_with_request(client);
     send_attempt(&mut table, Some(connection));
-    assert_eq!(table.client_disconnected(other), None);
+    assert_eq!(table.abandon(other), None);
     let abandoned = AbandonedRequest { id: RequestId::from(ID), connections: vec![connection] };
-    assert_eq!(table.client_disconnected(client), Some(abandoned));
-    assert_eq!(table.client_disconnected(client), None);
+    assert_eq!(table.abandon(client), Some(abandoned));
+    assert_eq!(table.abandon(client), None);
     assert_eq!(table.take_client(ID), None, "nobody is owed an answer");
     table.remove_if_finished(ID);
     assert!(table.contains(ID), "its attempt is in flight");
@@ -126,7 +126,7 @@
     let [client, connection] = connections();
     let mut table = table_with_request(client);
     send_attempt(&mut table, Some(connection));
-    assert!(table.client_disconnected(client).is_some());
+    assert!(table.abandon(client).is_some());
     table.insert(RequestId::from("r2"), client, statement());
     assert_eq!(table.take_client(ID), None);
     assert_eq!(table.take_client("r2"), Some(client));
@@ -158,5 +158,5 @@
     send_attempt(&mut table, Some(first));
     send_attempt(&mut table, Some(second));
     let abandoned = AbandonedRequest { id: RequestId::from(ID), connections: vec![first, second] };
-    assert_eq!(table.client_disconnected(client), Some(abandoned));
+    assert_eq!(table.abandon(client), Some(abandoned));
 }
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -27,9 +27,9 @@
 use super::backend::Backend;
 use super::discovery::Discovery;
 use super::frontend::Frontend;
-use super::reactor::{ConnectionId, EventSource, Handler, Readiness, TimerEvent};
+use super::reactor::{EventSource, Handler, Readiness, TimerEvent};
 use super::shutdown::GracefulShutdown;
-use super::{Context, Event, Response};
+use super::{Context, Event};
 use crate::interface::{self, Action};
 use crate::Policy;
 use active_requests::ActiveRequests;
@@ -63,7 +63,7 @@
                 Event::QueryReceived { client, query, received_at } => {
                     self.on_query(client, *query, received_at, context);
                 }
-                Event::ClientDisconnected(client) => self.on_client_disconnected(client, context),
+                Event::ClientDisconnected(client) => self.abandon_request(client, context),
                 Event::CancelRequested(key) => self.on_cancel_request(key, context),
                 Event::TaskCompleted(completion) => self.on_task_completed(*completion, context),
                 Event::WatchFailed => self.on_watch_failed(context),
@@ -88,11 +88,6 @@
         actions
     }
 
-    /// Sends a client the final answer to its query.
-    fn respond(&mut self, client: ConnectionId, response: Response, context: &mut Context) {
-        self.frontend.respond(client, response, context);
-    }
-
     /// Stops accepting connections and closes each open one once its queries are answered.
     fn start_draining(&mut self, context: &mut Context) {
         self.frontend.stop_accepting(context);
@@ -109,11 +104,6 @@
         }
         self.shutdown.schedule_search_for_blocking_requests(&mut context.reactor);
     }
-
-    /// Gives up the attempt that runs on a connection to an endpoint.
-    fn cancel_attempt(&mut self, connection: ConnectionId, context: &mut Context) {
-        self.backend.cancel(connection, context);
-    }
 }
 
 impl Handler for Pooler {
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -99,7 +99,7 @@
     ) {
         let class = match self.validate(&query) {
             Ok(class) => class,
-            Err(reason) => return self.respond(client, Response::Invalid(reason), context),
+            Err(reason) => return self.frontend.respond(client, Response::Invalid(reason), context),
         };
         context.counters.requests_received += 1;
         let id = RequestId::from(query.id.as_str());
@@ -118,23 +118,23 @@
         Ok(class)
     }
 
-    /// Gives up the request of a client that does not wait for it any more.
-    pub(super) fn on_client_disconnected(&mut self, client: ConnectionId, context: &mut Context) {
-        let Some(request) = self.requests.client_disconnected(client) else { return };
+    /// Abandons the request of a client that has disconnected or cancelled it: reports that to the policy, then
+    /// cancels the attempts in flight.
+    pub(super) fn abandon_request(&mut self, client: ConnectionId, context: &mut Context) {
+        let Some(request) = self.requests.abandon(client) else { return };
         context.counters.client_disconnects += 1;
         self.notify_policy(interface::Event::ClientDisconnected { id: request.id.clone() }, context);
         for connection in request.connections {
-            self.cancel_attempt(connection, context);
+            self.backend.cancel(connection, context);
         }
         self.requests.remove_if_finished(&request.id);
     }
 
-    /// Cancels the query of the client that holds this key. The policy need not know that the client is still
-    /// connected.
+    /// Cancels the query of the client that has this key. For the policy that is the same as a disconnect.
     pub(super) fn on_cancel_request(&mut self, key: CancelKey, context: &mut Context) {
         if let Some(client) = self.frontend.find_by_cancel_key(key) {
-            self.on_client_disconnected(client, context);
-            self.respond(client, Response::Cancelled, context);
+            self.abandon_request(client, context);
+            self.frontend.respond(client, Response::Cancelled, context);
         }
     }
 }
