--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -41,6 +41,12 @@
             idle: Vec::new(),
         }
     }
+
+    fn close_idle_connections(&mut self, connections: &mut ConnectionTable<Connection>) {
+        for id in self.idle.drain(..) {
+            connections.remove(id);
+        }
+    }
 }
 
 /// All connections to endpoints.
@@ -94,9 +100,7 @@
 
     fn close_idle_connections_to_removed(&mut self) {
         for endpoint in self.endpoints.values_mut().filter(|endpoint| endpoint.is_removed) {
-            for id in endpoint.idle.drain(..) {
-                self.connections.remove(id);
-            }
+            endpoint.close_idle_connections(&mut self.connections);
         }
     }
 
@@ -137,9 +141,7 @@
     /// Closes the idle connections to an endpoint.
     pub fn close_idle_connections(&mut self, endpoint: &EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else { return };
-        for id in endpoint.idle.drain(..) {
-            self.connections.remove(id);
-        }
+        endpoint.close_idle_connections(&mut self.connections);
     }
 
     /// The address of an endpoint, if it is known.
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -1,5 +1,7 @@
 //! What each message of a client leads to.
 
+use std::time::Duration;
+
 use super::Session;
 use crate::net::frontend::cycle::Cycle;
 use crate::net::frontend::error::ConnectionClosed;
@@ -54,11 +56,11 @@
 
     /// Closes the session of a client whose input cannot be split into messages.
     fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), ConnectionClosed> {
-        let (code, message) = match error {
-            FrameError::Malformed => (sqlstate::PROTOCOL_VIOLATION, "malformed message"),
-            FrameError::TooLong => (sqlstate::PROGRAM_LIMIT_EXCEEDED, "message too long"),
+        let code = match error {
+            FrameError::Malformed => sqlstate::PROTOCOL_VIOLATION,
+            FrameError::TooLong => sqlstate::PROGRAM_LIMIT_EXCEEDED,
         };
-        self.close_with_error(code, message, &mut context.counters)
+        self.close_with_error(code, &error.to_string(), &mut context.counters)
     }
 
     fn process_startup(&mut self, startup: Startup, context: &mut Context) -> Result<(), ConnectionClosed> {
@@ -142,18 +144,28 @@
     fn start_query(&mut self, mut query: Box<Query>, cycle: &mut Cycle) -> Result<(), ConnectionClosed> {
         let received_at = self.input.message_received_at();
         if let Some(drain) = cycle.service.rejecting_drain(received_at) {
-            cycle.context.counters.rejected += 1;
             let code = sqlstate::CANNOT_CONNECT_NOW;
-            return self.output.push_rejection(code, "shutting down", drain.retry_after());
+            return self.reject_query(code, "shutting down", drain.retry_after(), cycle);
         }
         // Each statement is within its own limit, but many of them together may exceed the memory.
         let Ok(memory) = self.input.reserve_memory(query.statement.text.len()) else {
-            cycle.context.counters.rejected += 1;
-            return self.output.push_error(sqlstate::TOO_MANY_CONNECTIONS, "no memory");
+            return self.reject_query(sqlstate::TOO_MANY_CONNECTIONS, "no memory", None, cycle);
         };
         query.statement.memory = Some(memory);
         self.state.start_query();
         cycle.context.events.push_back(Event::QueryReceived { client: cycle.id, query, received_at });
         Ok(())
     }
+
+    /// Answers a query that is not passed on with a rejection.
+    fn reject_query(
+        &mut self,
+        code: &str,
+        message: &str,
+        retry_after: Option<Duration>,
+        cycle: &mut Cycle,
+    ) -> Result<(), ConnectionClosed> {
+        cycle.context.counters.rejected += 1;
+        self.output.push_rejection(code, message, retry_after)
+    }
 }
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -118,8 +118,8 @@
         Ok(class)
     }
 
-    /// Abandons the request of a client that has disconnected or cancelled it: reports that to the policy, then
-    /// cancels the attempts in flight.
+    /// Abandons the request of a client that has disconnected or cancelled it: reports that to the policy,
+    /// then cancels the attempts in flight.
     pub(super) fn abandon_request(&mut self, client: ConnectionId, context: &mut Context) {
         let Some(request) = self.requests.abandon(client) else { return };
         context.counters.client_disconnects += 1;
--- a/src/net/postgres/framing.rs
+++ b/src/net/postgres/framing.rs
@@ -10,7 +10,8 @@
 /// The longest body of a client's message (bytes): the buffer must hold the header with it.
 pub(super) const MAX_CLIENT_BODY: usize = MAX_BUFFER_SIZE - HEADER_SIZE;
 
-/// The received bytes are not the messages of the protocol. The connection cannot be used any further.
+/// The received bytes are not the messages of the protocol. The connection cannot be used any further. The
+/// texts are sent to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum FrameError {
     /// A message has a kind, a length or a body that the protocol does not allow.
