--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -80,13 +80,14 @@
             State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
             State::Busy { .. } if query == WriteStatus::Pending => Outcome::ConnectFailed,
             State::Busy { reply, .. } => reply.outcome().unwrap_or(Outcome::ConnectionReset),
+            // No exchange: never reported.
             State::Idle => Outcome::ConnectionReset,
         }
     }
 
     /// How the exchange ends when the peer has sent data that belongs to no valid reply. The request may have
     /// been executed and the reply is discarded, unless an error in it proves that it was not executed.
-    pub fn discard_malformed_reply(&mut self) -> Outcome {
+    pub fn outcome_of_malformed_reply(&mut self) -> Outcome {
         match self {
             State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
             State::Busy { reply, .. } => match reply.outcome() {
@@ -96,6 +97,7 @@
                     Outcome::Error
                 }
             },
+            // No exchange: never reported.
             State::Idle => Outcome::Error,
         }
     }
@@ -112,6 +114,7 @@
             }
             State::Busy { .. } if query == WriteStatus::Pending => Expiry::Failed(Outcome::ConnectFailed),
             State::Busy { response_started: true, .. } => Expiry::ReplyStalled,
+            // Idle has no exchange: never reported.
             State::Busy { .. } | State::Idle => Expiry::Failed(Outcome::Timeout),
         }
     }
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -1,6 +1,15 @@
 //! Connects the [`Policy`] to the sockets: translates the [`Event`]s of the connections for the policy and
 //! executes the actions that it returns. The policy takes every decision except those that the limits of the
 //! process force.
+//!
+//! - [`startup`]: builds the pooler and runs it.
+//! - [`queries`]: the queries of clients, their disconnects and cancel requests.
+//! - [`actions`]: executes the actions of the policy.
+//! - [`completions`]: the ends of attempts and health checks.
+//! - [`active_requests`]: the requests that a client or an attempt still waits for.
+//! - [`endpoints`]: the endpoint list and the failures of its watch.
+//! - [`reload`]: reads the configuration file again after SIGHUP.
+//! - [`signals`]: the signals of the process.
 
 mod actions;
 mod active_requests;
@@ -18,9 +27,9 @@
 use super::backend::Backend;
 use super::discovery::Discovery;
 use super::frontend::Frontend;
-use super::reactor::{ConnectionId, EventSource, Handler, Readiness, TimerEvent};
+use super::reactor::{EventSource, Handler, Readiness, TimerEvent};
 use super::shutdown::GracefulShutdown;
-use super::{Context, Event, Response};
+use super::{Context, Event};
 use crate::interface::{self, Action};
 use crate::Policy;
 use active_requests::ActiveRequests;
@@ -39,7 +48,7 @@
     queries: QueryTranslator,
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
-    /// The timeout of a health check.
+    /// The timeout of a health check: the connect timeout, since neither waits for a query to be executed.
     health_check_timeout: Duration,
     reload: ConfigReload,
     shutdown: GracefulShutdown,
@@ -54,7 +63,7 @@
                 Event::QueryReceived { client, query, received_at } => {
                     self.on_query(client, *query, received_at, context);
                 }
-                Event::ClientDisconnected(client) => self.on_client_disconnected(client, context),
+                Event::ClientDisconnected(client) => self.abandon_request(client, context),
                 Event::CancelRequested(key) => self.on_cancel_request(key, context),
                 Event::TaskCompleted(completion) => self.on_task_completed(*completion, context),
                 Event::WatchFailed => self.on_watch_failed(context),
@@ -79,11 +88,6 @@
         actions
     }
 
-    /// Sends a client the final answer to its query.
-    fn respond(&mut self, client: ConnectionId, response: Response, context: &mut Context) {
-        self.frontend.respond(client, response, context);
-    }
-
     /// Stops accepting connections and closes each open one once its queries are answered.
     fn start_draining(&mut self, context: &mut Context) {
         self.frontend.stop_accepting(context);
@@ -91,20 +95,15 @@
         self.frontend.start_draining(drain, context);
     }
 
-    /// Ends each request behind which others wait on its connection: these must be answered before the kill.
+    /// Ends each blocking request: the queries behind it on its connection must be answered before the kill.
     fn end_blocking_requests(&mut self, context: &mut Context) {
-        for client in self.frontend.clients_with_waiting_input() {
+        for client in self.frontend.clients_with_blocking_requests() {
             if let Some(id) = self.requests.request_of(client) {
                 self.notify_policy(interface::Event::ShutdownImminent { id }, context);
             }
         }
         self.shutdown.schedule_search_for_blocking_requests(&mut context.reactor);
     }
-
-    /// Gives up the attempt that runs on a connection to an endpoint.
-    fn cancel_attempt(&mut self, connection: ConnectionId, context: &mut Context) {
-        self.backend.cancel(connection, context);
-    }
 }
 
 impl Handler for Pooler {
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -77,8 +77,8 @@
         timeout: fields.timeout,
         session_token: fields.session_token,
         has_idempotency_key: fields.has_idempotency_key,
-        session: first_quoted_string(statement).map(String::from),
-        statement: Statement { text: sql.into(), timeout: fields.timeout_position, memory: None },
+        session_key: first_quoted_string(statement).map(String::from),
+        statement: Statement { text: sql.into(), timeout_position: fields.timeout_position, memory: None },
     }
 }
 
@@ -98,7 +98,7 @@
     Ok(start..end.ok_or(QueryError::UnterminatedComment)?)
 }
 
-/// Returns the first quoted string of the statement, which names the session.
+/// Returns the first quoted string of the statement, which names the session. Escaped quotes are not handled.
 fn first_quoted_string(statement: &str) -> Option<&str> {
     let (_, after_quote) = statement.split_once(QUOTE)?;
     let (quoted, _) = after_quote.split_once(QUOTE)?;
