--- a/src/adapter/instances.rs
+++ b/src/adapter/instances.rs
@@ -43,8 +43,8 @@
 impl Instances {
     /// Handles one line. Writes the reply where the line ends a batch.
     ///
-    /// Fails where the line is malformed, refers to an unknown inventory or has settings out of their range, and
-    /// where the reply cannot be written. The instances cannot go on then.
+    /// Fails where the line is malformed, refers to an unknown inventory or has settings out of their
+    /// range, and where the reply cannot be written. The instances cannot go on then.
     pub fn handle_line(&mut self, line: &[u8], output: &mut impl Write) -> Result<BatchStatus, WireError> {
         match decode_line(line)? {
             Message::Turn { now } => self.now = now,
--- a/src/adapter/wire/decode/mod.rs
+++ b/src/adapter/wire/decode/mod.rs
@@ -1,5 +1,5 @@
-//! Decodes the lines that the simulator sends. This module decodes those for the adapter itself; its submodules
-//! decode what the policy takes.
+//! Decodes the lines that the simulator sends. This module decodes those for the adapter itself; its
+//! submodules decode what the policy takes.
 
 mod endpoints;
 mod instance_messages;
@@ -52,7 +52,8 @@
 
 /// Decodes a line, except for the fields of a message to an instance.
 ///
-/// Fails where the line is no message, the message is unknown, or one of its fields or settings has a wrong type.
+/// Fails where the line is no message, the message is unknown, or one of its fields or settings has a wrong
+/// type.
 pub fn decode_line(line: &[u8]) -> Result<Message, WireError> {
     let (name, values) = split_line(line)?;
     let fields = Fields(&values);
--- a/src/adapter/wire/encode.rs
+++ b/src/adapter/wire/encode.rs
@@ -9,7 +9,8 @@
 use super::names::reply;
 use super::InstanceId;
 
-/// Writes one line for each action, and the line that ends the reply. Fails where the output cannot be written.
+/// Writes one line for each action, and the line that ends the reply. Fails where the output cannot be
+/// written.
 pub fn write_reply(
     actions: impl IntoIterator<Item = (InstanceId, Action)>,
     output: &mut impl Write,
--- a/src/adapter/wire/fields.rs
+++ b/src/adapter/wire/fields.rs
@@ -1,5 +1,5 @@
-//! Typed access to the fields of a line. A field that the line is too short for reads as null; a value of a wrong
-//! type is an error that names the field.
+//! Typed access to the fields of a line. A field that the line is too short for reads as null; a value of a
+//! wrong type is an error that names the field.
 
 use serde_json::Value;
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -90,7 +90,8 @@
     }
 }
 
-/// Serves clients until a graceful shutdown is complete. A file that cannot be read for a moment is read again.
+/// Serves clients until a graceful shutdown is complete. A file that cannot be read for a moment is read
+/// again.
 fn serve(path: Option<PathBuf>) -> Result<(), CommandError> {
     let path = config_path(path)?;
     let config = retry(|| Config::load(&path), ConfigError::is_transient)?;
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Starts an attempt. All attempts are started here. Sends nothing where the attempts so far forbid it, or
+    /// Starts an attempt. All attempts are started here. Sends nothing where the attempts so far forbid it or
     /// the endpoint has moved to another group; the timers of the request end it then.
     pub(crate) fn send(&mut self, key: RequestKey, to: EndpointKey) {
         let now = self.cluster.now();
