--- a/src/adapter/wire/names.rs
+++ b/src/adapter/wire/names.rs
@@ -42,22 +42,23 @@
 }
 
 impl MessageName {
-    /// The message of this name on the wire, if there is one.
+    /// The message of this name on the wire, if there is one. The names are compared in this order: the most
+    /// frequent ones come first.
     pub fn from_wire(name: &str) -> Option<MessageName> {
         Some(match name {
+            "timeoutFired" => MessageName::Instance(InstanceMessageName::TimerExpired),
+            "done" => MessageName::Instance(InstanceMessageName::AttemptFinished),
+            "arrival" => MessageName::Instance(InstanceMessageName::RequestReceived),
             "turn" => MessageName::Turn,
             "yourTurn" => MessageName::EndOfBatch,
+            "echo" => MessageName::Instance(InstanceMessageName::HealthChecked),
+            "members" => MessageName::Instance(InstanceMessageName::EndpointsUpdated),
+            "accepted" => MessageName::Instance(InstanceMessageName::ResponseStarted),
+            "cancelledByClient" => MessageName::Instance(InstanceMessageName::ClientDisconnected),
             "inventory" => MessageName::Inventory,
             "openInstance" => MessageName::OpenInstance,
             "kill" => MessageName::KillInstance,
             "message" => MessageName::Ignored,
-            "members" => MessageName::Instance(InstanceMessageName::EndpointsUpdated),
-            "arrival" => MessageName::Instance(InstanceMessageName::RequestReceived),
-            "done" => MessageName::Instance(InstanceMessageName::AttemptFinished),
-            "echo" => MessageName::Instance(InstanceMessageName::HealthChecked),
-            "accepted" => MessageName::Instance(InstanceMessageName::ResponseStarted),
-            "cancelledByClient" => MessageName::Instance(InstanceMessageName::ClientDisconnected),
-            "timeoutFired" => MessageName::Instance(InstanceMessageName::TimerExpired),
             _ => return None,
         })
     }
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -20,12 +20,23 @@
 }
 
 /// A claim that an endpoint is the primary; the newest one is believed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PrimaryClaim {
     /// The time that it speaks of; unknown for a claim that is older than any other.
     at: Option<LocalInstant>,
 }
 
+impl PrimaryClaim {
+    /// Whether it speaks of an earlier time than another claim.
+    pub(crate) fn is_older_than(&self, other: &PrimaryClaim) -> bool {
+        match (self.at, other.at) {
+            (Some(own), Some(other)) => own < other,
+            (None, Some(_)) => true,
+            (_, None) => false,
+        }
+    }
+}
+
 #[cfg(test)]
 impl PrimaryClaim {
     /// A claim of this time.
@@ -80,10 +91,13 @@
 
     /// The newest claim that it is the primary: its own, or that of a list whose roles are as of `listed_at`.
     pub(crate) fn primary_claim(&self, listed_at: Option<LocalInstant>) -> Option<PrimaryClaim> {
-        match self.role {
-            Some(RoleClaim { role: Role::Primary, at }) => Some(PrimaryClaim { at: at.max(listed_at) }),
-            Some(RoleClaim { role: Role::Replica, at }) if listed_at <= at => None,
-            _ => listed_at.map(|listed_at| PrimaryClaim { at: Some(listed_at) }),
+        let listed = listed_at.map(|listed_at| PrimaryClaim { at: Some(listed_at) });
+        let Some(own) = self.role else { return listed };
+        let claim = PrimaryClaim { at: own.at };
+        let newer_listed = listed.filter(|listed| claim.is_older_than(listed));
+        match own.role {
+            Role::Primary => newer_listed.or(Some(claim)),
+            Role::Replica => newer_listed,
         }
     }
 
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -6,6 +6,7 @@
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey, Group};
+use crate::policy::endpoint::PrimaryClaim;
 use crate::policy::give_up::GiveUpReason;
 use crate::policy::request::PendingRequest;
 use crate::policy::slow_start::SlowStart;
@@ -21,11 +22,15 @@
 /// The endpoint with the newest claim to be the primary of a group.
 pub(crate) fn elect(group: &Group, cluster: &Cluster) -> Option<EndpointKey> {
     let list_age = cluster.settings().max_watch_gap * LISTED_ROLE_AGE_SHARE;
-    let claims = cluster.usable_endpoints(group).filter_map(|endpoint| {
-        let claim = cluster.endpoint(endpoint).primary_claim(list_age)?;
-        Some((claim, endpoint))
-    });
-    claims.max_by_key(|(claim, _)| *claim).map(|(_, endpoint)| endpoint)
+    let mut newest: Option<(PrimaryClaim, EndpointKey)> = None;
+    for endpoint in cluster.usable_endpoints(group) {
+        let Some(claim) = cluster.endpoint(endpoint).primary_claim(list_age) else { continue };
+        // Of claims of the same time, the last one counts.
+        if newest.is_none_or(|(other, _)| !claim.is_older_than(&other)) {
+            newest = Some((claim, endpoint));
+        }
+    }
+    newest.map(|(_, endpoint)| endpoint)
 }
 
 /// Whether a queued request has to wait on: while the primary is busy, only those are sent that are late.
