--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -7,7 +7,7 @@
 mod latency;
 
 use crate::policy::cluster::{Cluster, EndpointKey};
-use crate::policy::request::{PendingRequest, QuotaUse};
+use crate::policy::request::{PendingRequest, QuotaStatus};
 use crate::policy::token_bucket::TokenBucket;
 use crate::settings::{RequestClass, Settings};
 use crate::time::{LocalInstant, Span};
@@ -59,12 +59,12 @@
     }
 
     /// Charges a request to the quota of its tenant.
-    pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaUse {
+    pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaStatus {
         let quota = self.tenant_quotas.get_mut(tenant).and_then(Option::as_mut);
         if quota.is_none_or(|quota| quota.refill(now).withdraw_up_to_one()) {
-            QuotaUse::Within
+            QuotaStatus::Within
         } else {
-            QuotaUse::Beyond
+            QuotaStatus::Exceeded
         }
     }
 
@@ -111,9 +111,9 @@
         let priorities = classes.map(|(class, latency)| priority(class, latency));
         let highest = priorities.fold(MIN_HIGHEST_PRIORITY, f64::max);
         let own = priority(cluster.class(request.class()), &self.latencies[request.class()]) / highest;
-        match request.terms().quota_use {
-            QuotaUse::Within => own,
-            QuotaUse::Beyond => own * settings.over_quota_weight,
+        match request.terms().quota_status {
+            QuotaStatus::Within => own,
+            QuotaStatus::Exceeded => own * settings.over_quota_weight,
         }
     }
 
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -61,7 +61,7 @@
             deadline: now + time_left,
             queue_until: now + queue_time.max(Span::ZERO),
             session_token: self.sessions.token(request, &self.requests, &self.cluster),
-            quota_use: self.admission.charge_quota(request.tenant, now),
+            quota_status: self.admission.charge_quota(request.tenant, now),
             sampling_draw: self.rng.f64(),
         }
     }
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -15,11 +15,11 @@
 
 /// Whether a request is within the quota of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum QuotaUse {
+pub(crate) enum QuotaStatus {
     /// It is, or its tenant has no quota.
     Within,
     /// It is beyond: its priority is lower.
-    Beyond,
+    Exceeded,
 }
 
 /// What the policy has found out about a request when it was received.
@@ -34,7 +34,7 @@
     /// The log position that it has to see as a session read.
     pub(crate) session_token: RequiredPosition,
     /// Whether it is within the quota of its tenant.
-    pub(crate) quota_use: QuotaUse,
+    pub(crate) quota_status: QuotaStatus,
     /// Drawn once from 0 to 1: decides where only a share of all requests may go.
     pub(crate) sampling_draw: f64,
 }
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -10,7 +10,7 @@
         deadline: at(1.0),
         queue_until: at(0.5),
         session_token: RequiredPosition::Any,
-        quota_use: QuotaUse::Within,
+        quota_status: QuotaStatus::Within,
         sampling_draw: 0.0,
     };
     PendingRequest::new(request, terms)
