--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -94,8 +94,8 @@
         cluster: &Cluster,
     ) -> bool {
         // A late request must not wait in a longer queue: it would delay the requests that are still in time.
-        let is_late = cluster.now() >= request.terms().objective_at;
-        let ends_at = if is_late { request.terms().deadline } else { request.terms().objective_at };
+        let is_late = cluster.now() >= request.context().objective_at;
+        let ends_at = if is_late { request.context().deadline } else { request.context().objective_at };
         let time_left = ends_at - cluster.now();
         let objective = time_left.min(cluster.class(request.class()).latency_objective) * objective_factor;
         let priority = self.relative_priority(request, cluster);
@@ -111,7 +111,7 @@
         let priorities = classes.map(|(class, latency)| priority(class, latency));
         let highest = priorities.fold(MIN_HIGHEST_PRIORITY, f64::max);
         let own = priority(cluster.class(request.class()), &self.latencies[request.class()]) / highest;
-        match request.terms().quota_status {
+        match request.context().quota_status {
             QuotaStatus::Within => own,
             QuotaStatus::Exceeded => own * settings.over_quota_weight,
         }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -7,7 +7,7 @@
 use crate::policy::overdue::{self, OverdueAttempt};
 use crate::policy::primary;
 use crate::policy::read_routing::ReadRouter;
-use crate::policy::request::{Attempt, EndedAttempt, PendingRequest, RequestKey, RequestTerms};
+use crate::policy::request::{Attempt, EndedAttempt, PendingRequest, RequestContext, RequestKey};
 use crate::policy::retry::{self, Replacement};
 use crate::policy::{NoRoute, Policy, Route};
 use crate::time::Span;
@@ -26,10 +26,10 @@
         }
         self.count_request(&request);
         let now = self.cluster.now();
-        let terms = self.terms_of(&request);
-        let queue_until = terms.queue_until;
-        let final_answer_at = (terms.deadline - self.cluster.settings().tick).max(now);
-        let key = self.requests.insert(PendingRequest::new(request, terms));
+        let context = self.context_of(&request);
+        let queue_until = context.queue_until;
+        let final_answer_at = (context.deadline - self.cluster.settings().tick).max(now);
+        let key = self.requests.insert(PendingRequest::new(request, context));
         self.actions.push(Action::SetTimer { at: queue_until, cookie: key });
         // This timer guarantees a final answer just before the deadline.
         self.actions.push(Action::SetTimer { at: final_answer_at, cookie: key });
@@ -48,7 +48,7 @@
         }
     }
 
-    fn terms_of(&mut self, request: &Request) -> RequestTerms {
+    fn context_of(&mut self, request: &Request) -> RequestContext {
         let now = self.cluster.now();
         let class = self.cluster.class(request.class);
         // A request cannot claim a longer deadline than its class has.
@@ -56,7 +56,7 @@
         let work = request.predicted_work.unwrap_or_default();
         let objective = class.latency_objective + class.latency_objective_factor * work;
         let queue_time = time_left * QUEUE_TIME_SHARE - self.cluster.settings().tick;
-        RequestTerms {
+        RequestContext {
             objective_at: now + objective.min(time_left),
             deadline: now + time_left,
             queue_until: now + queue_time.max(Span::ZERO),
@@ -70,7 +70,7 @@
     pub(crate) fn request_timer_expired(&mut self, key: RequestKey) {
         let Some(request) = self.requests.unfinished_mut(key) else { return };
         let final_timer_time = FINAL_TIMER_TICKS * self.cluster.settings().tick;
-        if self.cluster.now() + final_timer_time >= request.terms().deadline {
+        if self.cluster.now() + final_timer_time >= request.context().deadline {
             self.give_up(key, GiveUpReason::Deadline);
         } else if request.has_reached_no_endpoint() {
             self.give_up(key, GiveUpReason::QueueTimeOver);
@@ -92,7 +92,7 @@
             return self.give_up(key, reason);
         }
         let has_waited =
-            self.cluster.now() >= request.terms().queue_until && request.has_reached_no_endpoint();
+            self.cluster.now() >= request.context().queue_until && request.has_reached_no_endpoint();
         match self.route(key) {
             Ok(endpoint) => self.send(key, endpoint),
             Err(NoRoute::Queue) if has_waited => self.give_up(key, GiveUpReason::QueueTimeOver),
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -24,7 +24,7 @@
 
 /// What the policy has found out about a request when it was received.
 #[derive(Clone, Debug)]
-pub(crate) struct RequestTerms {
+pub(crate) struct RequestContext {
     /// When its latency objective is over.
     pub(crate) objective_at: LocalInstant,
     /// When its client stops waiting.
@@ -61,7 +61,7 @@
     class: usize,
     group: u32,
     session: Option<Arc<str>>,
-    terms: RequestTerms,
+    context: RequestContext,
     attempts: Vec<Attempt>,
     queue: QueueState,
     answer: AnswerState,
@@ -69,13 +69,13 @@
 
 impl PendingRequest {
     /// A request that has just been received.
-    pub(crate) fn new(request: Request, terms: RequestTerms) -> PendingRequest {
+    pub(crate) fn new(request: Request, context: RequestContext) -> PendingRequest {
         PendingRequest {
             id: request.id,
             class: request.class,
             group: request.group,
             session: request.session,
-            terms,
+            context,
             attempts: Vec::new(),
             queue: QueueState::NotQueued,
             answer: AnswerState::Due,
@@ -103,8 +103,8 @@
     }
 
     /// What was found out about it when it was received.
-    pub(crate) fn terms(&self) -> &RequestTerms {
-        &self.terms
+    pub(crate) fn context(&self) -> &RequestContext {
+        &self.context
     }
 
     /// Its attempts, in the order in which they were sent.
@@ -161,9 +161,9 @@
     /// Until when an answer is of use: the deadline, or the latency objective if a late answer earns nothing.
     pub(crate) fn useful_until(&self, class: &RequestClass) -> LocalInstant {
         if class.late_weight > 0.0 {
-            self.terms.deadline
+            self.context.deadline
         } else {
-            self.terms.objective_at
+            self.context.objective_at
         }
     }
 
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -5,7 +5,7 @@
 /// A request of this class for group 0, received at 0 s, with an objective at 0.5 s and a deadline at 1 s.
 pub(crate) fn pending(id: &str, class: usize) -> PendingRequest {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
-    let terms = RequestTerms {
+    let context = RequestContext {
         objective_at: at(0.5),
         deadline: at(1.0),
         queue_until: at(0.5),
@@ -13,7 +13,7 @@
         quota_status: QuotaStatus::Within,
         sampling_draw: 0.0,
     };
-    PendingRequest::new(request, terms)
+    PendingRequest::new(request, context)
 }
 
 #[test]
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -69,9 +69,9 @@
     if request.attempts().len() >= settings.max_attempts as usize {
         return Err(NoAttempt::NoneLeft);
     }
-    let Some(first_sent_at) = request.may_have_run_since() else { return Ok(request.terms().deadline) };
+    let Some(first_sent_at) = request.may_have_run_since() else { return Ok(request.context().deadline) };
     match repeat_limit(cluster.class(request.class()), first_sent_at) {
-        RepeatLimit::Always => Ok(request.terms().deadline),
+        RepeatLimit::Always => Ok(request.context().deadline),
         RepeatLimit::Until(window_end) => answer_due_within_window(request, window_end, cluster),
         RepeatLimit::Never => Err(NoAttempt::MayTakeEffectTwice),
     }
@@ -88,7 +88,7 @@
     if cluster.now() >= window_end - reserve {
         return Err(NoAttempt::MayTakeEffectTwice);
     }
-    Ok(request.terms().deadline.min(window_end - MAX_PROCESS_PAUSE))
+    Ok(request.context().deadline.min(window_end - MAX_PROCESS_PAUSE))
 }
 
 fn repeat_limit(class: &RequestClass, first_sent_at: LocalInstant) -> RepeatLimit {
@@ -114,7 +114,7 @@
 
 /// The final answer is due a tick before the deadline: nothing that is sent then could be answered in time.
 fn is_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
-    cluster.now() + cluster.settings().tick >= request.terms().deadline
+    cluster.now() + cluster.settings().tick >= request.context().deadline
 }
 
 /// Takes the retry that follows an attempt with this outcome from the budget, if the attempt may have been
@@ -184,7 +184,7 @@
 ) -> bool {
     let class = cluster.class(request.class());
     let useful_until =
-        if delay.is_answer_lost { request.useful_until(class) } else { request.terms().objective_at };
+        if delay.is_answer_lost { request.useful_until(class) } else { request.context().objective_at };
     useful_until - cluster.now() > mean_latency
 }
 
