--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -94,8 +94,9 @@
         cluster: &Cluster,
     ) -> bool {
         // A late request must not wait in a longer queue: it would delay the requests that are still in time.
-        let is_late = cluster.now() >= request.context().objective_at;
-        let ends_at = if is_late { request.context().deadline } else { request.context().objective_at };
+        let is_late = cluster.now() >= request.context().objective_expires_at;
+        let ends_at =
+            if is_late { request.context().deadline } else { request.context().objective_expires_at };
         let time_left = ends_at - cluster.now();
         let objective = time_left.min(cluster.class(request.class()).latency_objective) * objective_factor;
         let priority = self.relative_priority(request, cluster);
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -57,7 +57,7 @@
         let objective = class.latency_objective + class.latency_objective_factor * work;
         let queue_time = time_left * QUEUE_TIME_SHARE - self.cluster.settings().tick;
         RequestContext {
-            objective_at: now + objective.min(time_left),
+            objective_expires_at: now + objective.min(time_left),
             deadline: now + time_left,
             queue_until: now + queue_time.max(Span::ZERO),
             session_token: self.sessions.token(request, &self.requests, &self.cluster),
--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -66,7 +66,7 @@
 /// The mean Retry-After: short while a retry can still be answered within the latency objective, and as long
 /// as the deadline once no answer has any weight.
 fn mean_retry_after(request: &PendingRequest, class: &RequestClass, cluster: &Cluster) -> Span {
-    let is_late = cluster.now() >= request.context().objective_at - cluster.settings().tick;
+    let is_late = cluster.now() >= request.context().objective_expires_at - cluster.settings().tick;
     if is_late && class.late_weight == 0.0 {
         class.deadline
     } else {
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -37,7 +37,7 @@
 pub(crate) fn must_wait(request: &PendingRequest, primary: Option<EndpointKey>, cluster: &Cluster) -> bool {
     let in_flight = |endpoint: EndpointKey| cluster.endpoint(endpoint).load().in_flight();
     let is_busy = primary.is_some_and(|primary| in_flight(primary) >= MAX_IN_FLIGHT_WHEN_DEQUEUING);
-    is_busy && request.context().objective_at > cluster.now()
+    is_busy && request.context().objective_expires_at > cluster.now()
 }
 
 /// Whether the primary gets a request that only the primary can take. The request is queued while no
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestContext {
     /// When its latency objective is over.
-    pub(crate) objective_at: LocalInstant,
+    pub(crate) objective_expires_at: LocalInstant,
     /// When its client stops waiting.
     pub(crate) deadline: LocalInstant,
     /// Until then it may wait without having reached any endpoint.
@@ -163,7 +163,7 @@
         if class.late_weight > 0.0 {
             self.context.deadline
         } else {
-            self.context.objective_at
+            self.context.objective_expires_at
         }
     }
 
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -6,7 +6,7 @@
 pub(crate) fn pending(id: &str, class: usize) -> PendingRequest {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
     let context = RequestContext {
-        objective_at: at(0.5),
+        objective_expires_at: at(0.5),
         deadline: at(1.0),
         queue_until: at(0.5),
         session_token: RequiredPosition::Any,
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -183,8 +183,11 @@
     cluster: &Cluster,
 ) -> bool {
     let class = cluster.class(request.class());
-    let useful_until =
-        if delay.is_answer_lost { request.useful_until(class) } else { request.context().objective_at };
+    let useful_until = if delay.is_answer_lost {
+        request.useful_until(class)
+    } else {
+        request.context().objective_expires_at
+    };
     useful_until - cluster.now() > mean_latency
 }
 
