--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -62,7 +62,7 @@
             queue_until: now + queue_time.max(Span::ZERO),
             session_token: self.sessions.token(request, &self.requests, &self.cluster),
             quota_status: self.admission.charge_quota(request.tenant, now),
-            sampling_draw: self.rng.f64(),
+            sampling_value: self.rng.f64(),
         }
     }
 
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -36,7 +36,7 @@
     /// Whether it is within the quota of its tenant.
     pub(crate) quota_status: QuotaStatus,
     /// Drawn once from 0 to 1: decides where only a share of all requests may go.
-    pub(crate) sampling_draw: f64,
+    pub(crate) sampling_value: f64,
 }
 
 /// Whether a request waits in the queue of its group.
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -11,7 +11,7 @@
         queue_until: at(0.5),
         session_token: RequiredPosition::Any,
         quota_status: QuotaStatus::Within,
-        sampling_draw: 0.0,
+        sampling_value: 0.0,
     };
     PendingRequest::new(request, context)
 }
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -129,7 +129,7 @@
     }
 
     fn admits_share(&self, request: &PendingRequest, to: EndpointKey, share: f64, cluster: &Cluster) -> bool {
-        let is_sampled = request.context().sampling_draw < share && !request.has_tried(to);
+        let is_sampled = request.context().sampling_value < share && !request.has_tried(to);
         is_sampled && self.budget(to, cluster).has_token()
     }
 
