--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -78,7 +78,7 @@
     }
 
     /// Gives up a request for which the process has no more time before it may be killed.
-    pub(crate) fn request_cut_off(&mut self, id: &RequestId) {
+    pub(crate) fn shutdown_imminent(&mut self, id: &RequestId) {
         let Some(key) = self.requests.key(id) else { return };
         if self.requests.unfinished_mut(key).is_some() {
             self.give_up(key, GiveUpReason::Shutdown);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -132,7 +132,7 @@
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
             }
-            Event::ShutdownImminent { id } => self.request_cut_off(&id),
+            Event::ShutdownImminent { id } => self.shutdown_imminent(&id),
             Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
             Event::Timer { cookie } => self.request_timer_expired(cookie),
         }
