--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -56,7 +56,7 @@
 use primary::health_checks::HealthChecks;
 use request::RequestTable;
 use retry::RetryBudget;
-use session::Sessions;
+use session::SessionTracker;
 use slow_start::SlowStart;
 use watch::{Watch, WatchChange};
 
@@ -85,7 +85,7 @@
     slow_start: SlowStart,
     retry_budget: RetryBudget,
     health_checks: HealthChecks,
-    sessions: Sessions,
+    sessions: SessionTracker,
     watch: Watch,
     connection_shortage: ConnectionShortage,
     housekeeping: Housekeeping,
@@ -108,7 +108,7 @@
             slow_start: SlowStart::new(),
             retry_budget: RetryBudget::new(),
             health_checks: HealthChecks::new(),
-            sessions: Sessions::default(),
+            sessions: SessionTracker::default(),
             watch: Watch::default(),
             connection_shortage: ConnectionShortage::default(),
             housekeeping: Housekeeping::new(&settings),
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -22,13 +22,13 @@
 
 /// What the pooler knows of the writes of sessions.
 #[derive(Default)]
-pub(crate) struct Sessions {
+pub(crate) struct SessionTracker {
     commits: SessionTable,
     /// Any session may have written until then, although no write of it is remembered.
     unknown_writes_until: Option<LocalInstant>,
 }
 
-impl Sessions {
+impl SessionTracker {
     /// Notes that writes until this time are not known, as after a restart: any session may have written.
     pub(crate) fn assume_writes_until(&mut self, now: LocalInstant) {
         self.unknown_writes_until = Some(now);
