--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -15,18 +15,18 @@
 
 /// Whether a request is within the quota of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum QuotaUse {
+pub(crate) enum QuotaStatus {
     /// It is, or its tenant has no quota.
     Within,
     /// It is beyond: its priority is lower.
-    Beyond,
+    Exceeded,
 }
 
 /// What the policy has found out about a request when it was received.
 #[derive(Clone, Debug)]
-pub(crate) struct RequestTerms {
+pub(crate) struct RequestContext {
     /// When its latency objective is over.
-    pub(crate) objective_at: LocalInstant,
+    pub(crate) objective_expires_at: LocalInstant,
     /// When its client stops waiting.
     pub(crate) deadline: LocalInstant,
     /// Until then it may wait without having reached any endpoint.
@@ -34,9 +34,9 @@
     /// The log position that it has to see as a session read.
     pub(crate) session_token: RequiredPosition,
     /// Whether it is within the quota of its tenant.
-    pub(crate) quota_use: QuotaUse,
+    pub(crate) quota_status: QuotaStatus,
     /// Drawn once from 0 to 1: decides where only a share of all requests may go.
-    pub(crate) sampling_draw: f64,
+    pub(crate) sampling_value: f64,
 }
 
 /// Whether a request waits in the queue of its group.
@@ -61,7 +61,7 @@
     class: usize,
     group: u32,
     session: Option<Arc<str>>,
-    terms: RequestTerms,
+    context: RequestContext,
     attempts: Vec<Attempt>,
     queue: QueueState,
     answer: AnswerState,
@@ -69,13 +69,13 @@
 
 impl PendingRequest {
     /// A request that has just been received.
-    pub(crate) fn new(request: Request, terms: RequestTerms) -> PendingRequest {
+    pub(crate) fn new(request: Request, context: RequestContext) -> PendingRequest {
         PendingRequest {
             id: request.id,
             class: request.class,
             group: request.group,
             session: request.session,
-            terms,
+            context,
             attempts: Vec::new(),
             queue: QueueState::NotQueued,
             answer: AnswerState::Due,
@@ -103,8 +103,8 @@
     }
 
     /// What was found out about it when it was received.
-    pub(crate) fn terms(&self) -> &RequestTerms {
-        &self.terms
+    pub(crate) fn context(&self) -> &RequestContext {
+        &self.context
     }
 
     /// Its attempts, in the order in which they were sent.
@@ -161,9 +161,9 @@
     /// Until when an answer is of use: the deadline, or the latency objective if a late answer earns nothing.
     pub(crate) fn useful_until(&self, class: &RequestClass) -> LocalInstant {
         if class.late_weight > 0.0 {
-            self.terms.deadline
+            self.context.deadline
         } else {
-            self.terms.objective_at
+            self.context.objective_expires_at
         }
     }
 
