--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -192,12 +192,12 @@
     }
 
     /// How many endpoints are kept in memory, those that were removed recently included.
-    pub fn endpoints_known(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slots()
     }
 
     /// How many groups are kept in memory.
-    pub fn groups_known(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.cluster.endpoints().group_count()
     }
 }
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -79,11 +79,11 @@
         sim.report_fresh(&added);
         sim.advance_time(0.5);
     }
-    assert!(sim.policy.endpoints_known() <= 80, "{}", sim.policy.endpoints_known());
+    assert!(sim.policy.endpoint_count() <= 80, "{}", sim.policy.endpoint_count());
     sim.report_fresh("n1999");
     assert_ne!(sent_endpoints(&sim.request("a", EVENTUAL_READ)).len(), 0);
     sim.update_endpoints(UpdateKind::Delta, vec![with_status("n3", EndpointStatus::Removed)]);
-    assert!(sim.policy.endpoints_known() <= 80);
+    assert!(sim.policy.endpoint_count() <= 80);
 }
 
 /// Guards against memory that grows with every group ever listed.
@@ -98,5 +98,5 @@
         );
         sim.advance_time(0.5);
     }
-    assert!(sim.policy.groups_known() <= 80, "{}", sim.policy.groups_known());
+    assert!(sim.policy.group_count() <= 80, "{}", sim.policy.group_count());
 }
