--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -162,7 +162,7 @@
             }
             self.finish_or_retry(ended.key, endpoint, result);
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+        self.update_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Takes in what the outcome of an attempt shows of its endpoint and of its class.
@@ -210,7 +210,7 @@
             return self.give_up(key, reason);
         }
         if result.outcome == Outcome::Ineligible && is_write {
-            self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+            self.update_primary(self.cluster.endpoint(endpoint).listing().group());
         }
         self.dispatch(key);
     }
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -10,7 +10,7 @@
 
 impl Policy {
     /// Makes the endpoint with the newest claim the group's primary, and dispatches queued requests.
-    pub(crate) fn elect_primary(&mut self, group_id: u32) {
+    pub(crate) fn update_primary(&mut self, group_id: u32) {
         let Some(group) = self.cluster.group(group_id) else { return };
         let primary = primary::elect(group, &self.cluster);
         if primary != group.primary() {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -23,7 +23,7 @@
             | Outcome::Ineligible
             | Outcome::InvalidRequest => self.record_failure(endpoint, evidence::FAILURE),
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+        self.update_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Counts the silence of an endpoint, at which so many attempts are late, as a failure.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -160,7 +160,7 @@
         for group in self.cluster.endpoints().group_ids() {
             self.cluster.endpoints_mut().forget_removed(group, horizon);
             self.search_primary(group);
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
@@ -187,7 +187,7 @@
             self.slow_start.endpoint_started(endpoint);
         }
         for group in self.cluster.endpoints().group_ids() {
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
