--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -69,7 +69,7 @@
     }
 
     /// The latency of a class.
-    pub(crate) fn latency(&self, class: usize) -> &LatencyEstimator {
+    pub(crate) fn class_latency(&self, class: usize) -> &LatencyEstimator {
         &self.latencies[class]
     }
 
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -174,7 +174,7 @@
             attempt: &ended.attempt,
             result,
             endpoint: self.cluster.endpoint(endpoint),
-            class_latency: self.admission.latency(ended.class),
+            class_latency: self.admission.class_latency(ended.class),
             settings: self.cluster.settings(),
             now,
             cluster_now: self.cluster.likely_now(),
@@ -234,7 +234,7 @@
     /// Hedges an attempt that takes too long, or cancels it, so that it is retried.
     fn replace_attempt(&mut self, overdue: &OverdueAttempt) {
         let Some(request) = self.requests.get_mut(overdue.request) else { return };
-        let latency = self.admission.latency(request.class());
+        let latency = self.admission.class_latency(request.class());
         let OverdueAttempt { number, delay, .. } = *overdue;
         match retry::replacement(request, number, delay, latency, &self.retry_budget, &self.cluster) {
             Some(Replacement::Hedge) => self.hedge(overdue),
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -58,7 +58,7 @@
 fn count_late_attempts(requests: &RequestTable, admission: &Admission, cluster: &Cluster) -> Vec<u32> {
     requests.count_by_endpoint(cluster.endpoints().slots(), |in_flight| {
         let AttemptInFlight { request, attempt, .. } = in_flight;
-        let late_after = admission.latency(request.class()).upper(LATE_DEVIATIONS);
+        let late_after = admission.class_latency(request.class()).upper(LATE_DEVIATIONS);
         let is_late = cluster.now() - attempt.sent_at() > late_after;
         is_late && cluster.endpoint(attempt.endpoint()).is_silent_since(attempt.sent_at())
     })
@@ -67,7 +67,7 @@
 fn delay_of(in_flight: &AttemptInFlight, admission: &Admission, cluster: &Cluster) -> Option<Delay> {
     let AttemptInFlight { request, attempt, .. } = in_flight;
     let class = cluster.class(request.class());
-    let latency = admission.latency(request.class());
+    let latency = admission.class_latency(request.class());
     let age = cluster.now() - attempt.sent_at();
     let objective = class.latency_objective * OVERDUE_OBJECTIVE_SHARE;
     if attempt.is_silence_counted() || age <= latency.upper(OVERDUE_DEVIATIONS).min(objective) {
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -244,7 +244,7 @@
 
     /// Whether it is of a class whose reads take so long that they can block the log of a replica.
     fn is_long_read(&self) -> bool {
-        let mean_latency = self.admission.latency(self.request.class()).mean();
+        let mean_latency = self.admission.class_latency(self.request.class()).mean();
         self.is_eventual() && mean_latency > self.cluster.shortest_staleness()
     }
 
