--- a/src/policy/admission/latency.rs
+++ b/src/policy/admission/latency.rs
@@ -32,7 +32,7 @@
     }
 
     /// The mean plus so many deviations.
-    pub(crate) fn upper(&self, deviations: f64) -> Span {
+    pub(crate) fn upper_bound(&self, deviations: f64) -> Span {
         self.mean + deviations * self.deviation
     }
 }
--- a/src/policy/admission/latency/tests.rs
+++ b/src/policy/admission/latency/tests.rs
@@ -10,7 +10,7 @@
     }
     assert!((latency.mean - secs(0.3)).abs() < secs(1e-6), "{:?}", latency.mean);
     assert!(latency.deviation < secs(1e-6), "{:?}", latency.deviation);
-    assert_eq!(latency.upper(0.0), latency.mean());
+    assert_eq!(latency.upper_bound(0.0), latency.mean());
 }
 
 #[test]
@@ -18,5 +18,5 @@
     let mut latency = LatencyEstimator::new(secs(1.0));
     latency.record(secs(3.0), 0.5);
     assert_eq!((latency.mean, latency.deviation), (secs(2.0), secs(1.5)));
-    assert_eq!(latency.upper(2.0), secs(5.0));
+    assert_eq!(latency.upper_bound(2.0), secs(5.0));
 }
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -167,7 +167,7 @@
 
     /// A timeout that is shorter than an answer takes shows nothing, such as that of a late request.
     fn timeout(&self) -> Evidence {
-        let is_late = self.result.elapsed > self.class_latency.upper(LATE_DEVIATIONS);
+        let is_late = self.result.elapsed > self.class_latency.upper_bound(LATE_DEVIATIONS);
         let counts = is_late && !self.attempt.is_cancelled();
         // An endpoint that still answers is overloaded; ejecting it would overload the others.
         let is_silent = self.endpoint.is_silent_since(self.attempt.sent_at());
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -58,7 +58,7 @@
 fn count_late_attempts(requests: &RequestTable, admission: &Admission, cluster: &Cluster) -> Vec<u32> {
     requests.count_by_endpoint(cluster.endpoints().slots(), |in_flight| {
         let AttemptInFlight { request, attempt, .. } = in_flight;
-        let late_after = admission.class_latency(request.class()).upper(LATE_DEVIATIONS);
+        let late_after = admission.class_latency(request.class()).upper_bound(LATE_DEVIATIONS);
         let is_late = cluster.now() - attempt.sent_at() > late_after;
         is_late && cluster.endpoint(attempt.endpoint()).is_silent_since(attempt.sent_at())
     })
@@ -70,10 +70,10 @@
     let latency = admission.class_latency(request.class());
     let age = cluster.now() - attempt.sent_at();
     let objective = class.latency_objective * OVERDUE_OBJECTIVE_SHARE;
-    if attempt.is_silence_counted() || age <= latency.upper(OVERDUE_DEVIATIONS).min(objective) {
+    if attempt.is_silence_counted() || age <= latency.upper_bound(OVERDUE_DEVIATIONS).min(objective) {
         return None;
     }
-    let silent_after = latency.upper(SILENT_DEVIATIONS);
+    let silent_after = latency.upper_bound(SILENT_DEVIATIONS);
     let endpoint = cluster.endpoint(attempt.endpoint());
     // Only writes: the latency of reads varies too much to tell a lost answer from a slow one.
     let may_be_lost = class.idempotency == Idempotency::IdempotencyKey;
