--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -118,7 +118,7 @@
     }
 
     /// Notes that load is shed. Returns whether that is to be logged.
-    pub(crate) fn note_shedding(&mut self, now: LocalInstant) -> bool {
+    pub(crate) fn record_shedding(&mut self, now: LocalInstant) -> bool {
         let is_logged = self.shedding_logged_until.is_none_or(|until| now >= until);
         self.shedding_logged_until = Some(now + SHEDDING_LOG_INTERVAL);
         is_logged
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -140,7 +140,7 @@
 
     /// Gives a request its final answer: a rejection where a retry by the client is harmless, else a failure.
     pub(crate) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
-        if reason.is_load_shedding() && self.admission.note_shedding(self.cluster.now()) {
+        if reason.is_load_shedding() && self.admission.record_shedding(self.cluster.now()) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
         }
         let Some(request) = self.requests.get(key) else { return };
