--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -134,7 +134,7 @@
         let (id, endpoint) = (request.id().clone(), endpoint.id().clone());
         request.add_attempt(Attempt::new(to, now));
         self.actions.push(Action::Send { id, endpoint, timeout });
-        self.slow_start.spend(to, &self.cluster);
+        self.slow_start.charge_budget(to, &self.cluster);
         self.cluster.endpoint_mut(to).attempt_sent(now);
     }
 
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -144,7 +144,7 @@
 
     /// Spends the budget of an endpoint on a request that is sent to it, if it is warming up. The trial of an
     /// ejected primary needs no budget, but uses it.
-    pub(crate) fn spend(&mut self, to: EndpointKey, cluster: &Cluster) {
+    pub(crate) fn charge_budget(&mut self, to: EndpointKey, cluster: &Cluster) {
         if capacity(to, cluster) >= 1.0 {
             return;
         }
@@ -156,7 +156,7 @@
         self.budgets[to] = budget;
     }
 
-    /// The budget of an endpoint, refilled until now; [`spend`](Self::spend) stores it. It is refilled by
+    /// The budget of an endpoint, refilled until now; [`charge_budget`](Self::charge_budget) stores it. It is refilled by
     /// its overload limit, of which the pooler has the part that it usually has of the group's traffic.
     fn budget(&self, endpoint: EndpointKey, cluster: &Cluster) -> TokenBucket {
         let settings = cluster.settings();
