--- a/src/policy/connection_shortage.rs
+++ b/src/policy/connection_shortage.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether idle connections are to be closed.
-    pub(crate) fn is_expected(&self, now: LocalInstant) -> bool {
+    pub(crate) fn is_active(&self, now: LocalInstant) -> bool {
         self.expected_until.is_some_and(|until| now < until)
     }
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -194,7 +194,7 @@
 
     fn close_idle_connections(&mut self, endpoint: EndpointKey) {
         let endpoint = self.cluster.endpoint(endpoint);
-        if self.connection_shortage.is_expected(self.cluster.now()) && endpoint.load().in_flight() == 0 {
+        if self.connection_shortage.is_active(self.cluster.now()) && endpoint.load().in_flight() == 0 {
             self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id().clone() });
         }
     }
