--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -134,13 +134,13 @@
         let (id, endpoint) = (request.id().clone(), endpoint.id().clone());
         request.add_attempt(Attempt::new(to, now));
         self.actions.push(Action::Send { id, endpoint, timeout });
-        self.slow_start.spend(to, &self.cluster);
+        self.slow_start.charge_budget(to, &self.cluster);
         self.cluster.endpoint_mut(to).attempt_sent(now);
     }
 
     /// Gives a request its final answer: a rejection where a retry by the client is harmless, else a failure.
     pub(crate) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
-        if reason.is_load_shedding() && self.admission.note_shedding(self.cluster.now()) {
+        if reason.is_load_shedding() && self.admission.record_shedding(self.cluster.now()) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
         }
         let Some(request) = self.requests.get(key) else { return };
@@ -162,7 +162,7 @@
             }
             self.finish_or_retry(ended.key, endpoint, result);
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+        self.update_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Takes in what the outcome of an attempt shows of its endpoint and of its class.
@@ -174,7 +174,7 @@
             attempt: &ended.attempt,
             result,
             endpoint: self.cluster.endpoint(endpoint),
-            class_latency: self.admission.latency(ended.class),
+            class_latency: self.admission.class_latency(ended.class),
             settings: self.cluster.settings(),
             now,
             cluster_now: self.cluster.likely_now(),
@@ -194,7 +194,7 @@
 
     fn close_idle_connections(&mut self, endpoint: EndpointKey) {
         let endpoint = self.cluster.endpoint(endpoint);
-        if self.connection_shortage.is_expected(self.cluster.now()) && endpoint.load().in_flight() == 0 {
+        if self.connection_shortage.is_active(self.cluster.now()) && endpoint.load().in_flight() == 0 {
             self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id().clone() });
         }
     }
@@ -210,7 +210,7 @@
             return self.give_up(key, reason);
         }
         if result.outcome == Outcome::Ineligible && is_write {
-            self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+            self.update_primary(self.cluster.endpoint(endpoint).listing().group());
         }
         self.dispatch(key);
     }
@@ -234,7 +234,7 @@
     /// Hedges an attempt that takes too long, or cancels it, so that it is retried.
     fn replace_attempt(&mut self, overdue: &OverdueAttempt) {
         let Some(request) = self.requests.get_mut(overdue.request) else { return };
-        let latency = self.admission.latency(request.class());
+        let latency = self.admission.class_latency(request.class());
         let OverdueAttempt { number, delay, .. } = *overdue;
         match retry::replacement(request, number, delay, latency, &self.retry_budget, &self.cluster) {
             Some(Replacement::Hedge) => self.hedge(overdue),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -160,7 +160,7 @@
         for group in self.cluster.endpoints().group_ids() {
             self.cluster.endpoints_mut().forget_removed(group, horizon);
             self.search_primary(group);
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
@@ -187,17 +187,17 @@
             self.slow_start.endpoint_started(endpoint);
         }
         for group in self.cluster.endpoints().group_ids() {
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
     /// How many endpoints are kept in memory, those that were removed recently included.
-    pub fn endpoints_known(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slots()
     }
 
     /// How many groups are kept in memory.
-    pub fn groups_known(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.cluster.endpoints().group_count()
     }
 }
