--- a/src/adapter/wire/decode/results.rs
+++ b/src/adapter/wire/decode/results.rs
@@ -37,7 +37,7 @@
 
 /// Decodes the result of a health check. Fails where a field has a wrong type or the outcome is unknown.
 pub fn decode_health_check(fields: Fields, base_time: BaseTime) -> Result<Event, WireError> {
-    Ok(Event::HealthChecked {
+    Ok(Event::HealthCheckFinished {
         endpoint: fields.text(layout::health_check::ENDPOINT)?.into(),
         outcome: decode_outcome(fields, layout::health_check::OUTCOME)?,
         report: decode_load_report(fields.value(layout::health_check::LOAD_REPORT), base_time),
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -65,7 +65,7 @@
     /// An attempt ended.
     AttemptFinished(AttemptResult),
     /// A health check ended.
-    HealthChecked {
+    HealthCheckFinished {
         /// The endpoint that was checked.
         endpoint: EndpointId,
         /// How the check ended.
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -19,7 +19,7 @@
     fn on_health_check_completed(&mut self, completion: Completion, context: &mut Context) {
         let Completion { endpoint, outcome, report, .. } = completion;
         context.counters.health_check_outcomes.record(outcome);
-        self.notify_policy(interface::Event::HealthChecked { endpoint, outcome, report }, context);
+        self.notify_policy(interface::Event::HealthCheckFinished { endpoint, outcome, report }, context);
     }
 
     fn on_attempt_completed(&mut self, attempt: AttemptTask, completion: Completion, context: &mut Context) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -126,7 +126,7 @@
             Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
-            Event::HealthChecked { endpoint, outcome, report } => {
+            Event::HealthCheckFinished { endpoint, outcome, report } => {
                 self.health_checked(&endpoint, outcome, &report);
             }
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -259,7 +259,7 @@
     /// Ends a health check whose report is empty.
     pub fn finish_health_check(&mut self, endpoint: &str, outcome: Outcome) -> Vec<Action> {
         let report = LoadReport::default();
-        self.handle(Event::HealthChecked { endpoint: endpoint.into(), outcome, report })
+        self.handle(Event::HealthCheckFinished { endpoint: endpoint.into(), outcome, report })
     }
 
     /// A replica reports the log position that it has applied.
@@ -268,7 +268,11 @@
             log_position: Some(LogPosition::from_secs(log_position)),
             role: Some(Role::Replica),
         };
-        self.handle(Event::HealthChecked { endpoint: endpoint.into(), outcome: Outcome::Success, report });
+        self.handle(Event::HealthCheckFinished {
+            endpoint: endpoint.into(),
+            outcome: Outcome::Success,
+            report,
+        });
     }
 
     /// A replica reports that it has applied everything up to now.
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -59,7 +59,7 @@
             Event::Endpoints { kind, endpoints } => self.observe_endpoints(*kind, endpoints),
             Event::Request(request) => self.observe_request(request),
             Event::AttemptFinished(result) => self.observe_result(result),
-            Event::HealthChecked { endpoint, outcome: Outcome::Success, report } => {
+            Event::HealthCheckFinished { endpoint, outcome: Outcome::Success, report } => {
                 self.observe_report(endpoint, report);
             }
             Event::ResponseStarted { id } => self.end_request(id),
@@ -71,7 +71,7 @@
                 }
             }
             Event::WatchFailed
-            | Event::HealthChecked { .. }
+            | Event::HealthCheckFinished { .. }
             | Event::ShutdownImminent { .. }
             | Event::Timer { .. } => {}
         }
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -210,7 +210,7 @@
         let is_served = outcome == Outcome::Success;
         let report = if is_served { self.report(&endpoint) } else { LoadReport::default() };
         let time = 0.05 * self.random.f64();
-        self.schedule(time, Event::HealthChecked { endpoint, outcome, report });
+        self.schedule(time, Event::HealthCheckFinished { endpoint, outcome, report });
     }
 
     /// What an endpoint reports about itself now.
