--- a/src/adapter/instances.rs
+++ b/src/adapter/instances.rs
@@ -95,7 +95,7 @@
             InstanceMessage::EndpointsFromInventory { kind, inventory } => {
                 let endpoints = self.inventories.get(&inventory);
                 let endpoints = endpoints.cloned().ok_or(WireError::UnknownInventory(inventory))?;
-                Ok(Event::Endpoints { kind, endpoints })
+                Ok(Event::EndpointsUpdated { kind, endpoints })
             }
         }
     }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -54,7 +54,7 @@
     /// A call for the endpoint list failed or its watch broke: the list received so far stays in force.
     WatchFailed,
     /// The endpoint list was updated.
-    Endpoints {
+    EndpointsUpdated {
         /// What the update contains.
         kind: UpdateKind,
         /// Its entries.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,7 +18,7 @@
 //! let (status, role) = (EndpointStatus::Serving, Role::Primary);
 //! let endpoint = Endpoint { id, status, role, ..Endpoint::default() };
 //! let start = LocalInstant::from_secs(100.0);
-//! let list = Event::Endpoints { kind: UpdateKind::Cached, endpoints: vec![endpoint] };
+//! let list = Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: vec![endpoint] };
 //! policy.handle(start, list, &mut actions);
 //! let request = Event::request("r1", 0, 0, Span::from_secs(1.0));
 //! policy.handle(start + Span::from_secs(0.1), request, &mut actions);
--- a/src/net/pooler/endpoints.rs
+++ b/src/net/pooler/endpoints.rs
@@ -23,7 +23,7 @@
         self.backend.update_endpoints(kind, &endpoints, context);
         let any_serving = endpoints.iter().any(|listed| listed.status == EndpointStatus::Serving);
         let endpoints = endpoints.into_iter().map(|listed| self.endpoint(listed)).collect();
-        self.notify_policy(interface::Event::Endpoints { kind, endpoints }, context);
+        self.notify_policy(interface::Event::EndpointsUpdated { kind, endpoints }, context);
         if any_serving {
             self.frontend.set_ready(context);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -123,7 +123,7 @@
         self.cluster.advance_to(now);
         match event {
             Event::WatchFailed => self.watch_failed(),
-            Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
+            Event::EndpointsUpdated { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
             Event::HealthCheckFinished { endpoint, outcome, report } => {
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -196,7 +196,7 @@
 
     /// Delivers an update of the endpoint list.
     pub fn update_endpoints(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) -> Vec<Action> {
-        self.handle(Event::Endpoints { kind, endpoints })
+        self.handle(Event::EndpointsUpdated { kind, endpoints })
     }
 
     /// Advances the clock, delivers the timers that expire meanwhile and returns the actions that follow.
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -56,7 +56,7 @@
     pub fn observe_event(&mut self, now: f64, event: &Event) {
         self.now = now;
         match event {
-            Event::Endpoints { kind, endpoints } => self.observe_endpoints(*kind, endpoints),
+            Event::EndpointsUpdated { kind, endpoints } => self.observe_endpoints(*kind, endpoints),
             Event::Request(request) => self.observe_request(request),
             Event::AttemptFinished(result) => self.observe_result(result),
             Event::HealthCheckFinished { endpoint, outcome: Outcome::Success, report } => {
--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -178,6 +178,6 @@
             UpdateKind::Delta => vec![host.entry.clone()],
             UpdateKind::Snapshot | UpdateKind::Cached => self.listed(),
         };
-        Event::Endpoints { kind, endpoints }
+        Event::EndpointsUpdated { kind, endpoints }
     }
 }
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -81,7 +81,7 @@
         let listed = hosts.listed();
         let sim = Simulation::with_endpoints(settings.clone(), seed, |_| listed.clone());
         let mut checker = Checker::new(settings.clone(), sim.now);
-        let first = Event::Endpoints { kind: UpdateKind::Cached, endpoints: listed };
+        let first = Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: listed };
         checker.observe_event(sim.now, &first);
         for action in &sim.actions {
             assert!(checker.check_action(action).is_ok(), "nothing is sent before the first request");
@@ -282,7 +282,8 @@
         let mut lines = Vec::new();
         for (now, event, actions) in &self.history {
             let text = format!("{event:?}");
-            if matches!(event, Event::Endpoints { .. } | Event::WatchFailed) || text.contains(&quoted) {
+            if matches!(event, Event::EndpointsUpdated { .. } | Event::WatchFailed) || text.contains(&quoted)
+            {
                 lines.push(format!("{now:.4} {text}"));
             }
             let relevant = |text: &String| text.contains(&quoted) || text.contains("PrimaryChanged");
