--- a/src/adapter/wire/decode/instance_messages.rs
+++ b/src/adapter/wire/decode/instance_messages.rs
@@ -56,7 +56,7 @@
             InstanceMessageName::ClientDisconnected => {
                 Event::ClientDisconnected { id: decode_request_id(fields)? }
             }
-            InstanceMessageName::TimerExpired => Event::Timer { cookie: decode_cookie(fields)? },
+            InstanceMessageName::TimerExpired => Event::TimerExpired { cookie: decode_cookie(fields)? },
         };
         Ok(InstanceMessage::Event(event))
     }
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -40,7 +40,7 @@
     SetTimer {
         /// When it expires.
         at: LocalInstant,
-        /// The value that its [`Event::Timer`](super::Event::Timer) carries.
+        /// The value that its [`Event::TimerExpired`](super::Event::TimerExpired) carries.
         cookie: u64,
     },
     /// Send a health check to an endpoint.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -89,7 +89,7 @@
         id: RequestId,
     },
     /// A timer has expired.
-    Timer {
+    TimerExpired {
         /// The cookie that it was set with.
         cookie: u64,
     },
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -123,7 +123,9 @@
 
     fn timer_expired(&mut self, timer: TimerEvent, context: &mut Context) {
         match timer {
-            TimerEvent::Policy(cookie) => self.notify_policy(interface::Event::Timer { cookie }, context),
+            TimerEvent::Policy(cookie) => {
+                self.notify_policy(interface::Event::TimerExpired { cookie }, context)
+            }
             TimerEvent::RetryAccept => self.frontend.accept(context),
             TimerEvent::IdleSweep => self.frontend.close_idle(context),
             TimerEvent::Client(client) => self.frontend.timer_expired(client, context),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -133,8 +133,8 @@
                 self.requests.finish_by_id(&id);
             }
             Event::ShutdownImminent { id } => self.request_cut_off(&id),
-            Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
-            Event::Timer { cookie } => self.request_timer_expired(cookie),
+            Event::TimerExpired { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
+            Event::TimerExpired { cookie } => self.request_timer_expired(cookie),
         }
         self.schedule_housekeeping();
         actions.append(&mut self.actions);
--- a/tests/policy/event_handling.rs
+++ b/tests/policy/event_handling.rs
@@ -33,7 +33,7 @@
     let two_primaries = vec![primary(PRIMARY, LOCAL_ZONE), primary(LOCAL_REPLICA, REMOTE_ZONE)];
     sim.update_endpoints(UpdateKind::Snapshot, two_primaries);
     sim.request("two primaries", KEYED_WRITE);
-    sim.handle(Event::Timer { cookie: 12345 });
+    sim.handle(Event::TimerExpired { cookie: 12345 });
     sim.advance_time(3.0);
     assert_eq!(final_answers(&sim.actions), 5);
 }
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -205,7 +205,7 @@
         let first_action = self.actions.len();
         while let Some((at, cookie)) = self.take_timer_until(end) {
             self.now = self.now.max(at);
-            self.handle(Event::Timer { cookie });
+            self.handle(Event::TimerExpired { cookie });
         }
         self.now = end;
         self.actions[first_action..].to_vec()
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -73,7 +73,7 @@
             Event::WatchFailed
             | Event::HealthCheckFinished { .. }
             | Event::ShutdownImminent { .. }
-            | Event::Timer { .. } => {}
+            | Event::TimerExpired { .. } => {}
         }
     }
 
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -127,7 +127,7 @@
             let horizon = earliest.map_or(end, |index| self.pending[index].due);
             if let Some((at, cookie)) = self.sim.take_timer_until(horizon) {
                 self.sim.now = self.sim.now.max(at);
-                self.deliver(Event::Timer { cookie })?;
+                self.deliver(Event::TimerExpired { cookie })?;
             } else if let Some(index) = earliest {
                 let pending = self.pending.swap_remove(index);
                 self.sim.now = self.sim.now.max(pending.due);
