--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -154,7 +154,7 @@
         let (limits, invariants, specifics) = (&self.limits, &self.invariants, &self.specifics);
         Ok(Settings {
             classes: self.decode_classes()?,
-            tenant_quota: self.decode_tenant_quotas()?,
+            tenant_quotas: self.decode_tenant_quotas()?,
             over_quota_weight: self.over_share_worth.or("overShareWorth", 1.0)?,
             pooler_count: self.fleet_size.or("fleetSize", 1.0)? as u32,
             zone: self.zone.or("zone", 0.0)? as u32,
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -36,7 +36,7 @@
 fn default_settings() -> Settings {
     Settings {
         classes: Vec::new(),
-        tenant_quota: Vec::new(),
+        tenant_quotas: Vec::new(),
         over_quota_weight: 1.0,
         pooler_count: 1,
         zone: 0,
@@ -121,7 +121,7 @@
     let fifth = RequestClass { consistency: Consistency::Strong, ..default_class() };
     let expected = Settings {
         classes: vec![first, second, third, default_class(), fifth],
-        tenant_quota: vec![Some(7.0), None, None],
+        tenant_quotas: vec![Some(7.0), None, None],
         over_quota_weight: 0.75,
         pooler_count: 8,
         zone: 9,
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -53,7 +53,7 @@
         };
         Admission {
             latencies: settings.classes.iter().map(initial_latency).collect(),
-            tenant_quotas: settings.tenant_quota.iter().map(bucket).collect(),
+            tenant_quotas: settings.tenant_quotas.iter().map(bucket).collect(),
             shedding_logged_until: None,
         }
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -126,7 +126,7 @@
     /// Request classes, by number.
     pub classes: Vec<RequestClass>,
     /// Requests per second within each tenant's quota, over all poolers; `None` for a tenant without a limit.
-    pub tenant_quota: Vec<Option<f64>>,
+    pub tenant_quotas: Vec<Option<f64>>,
     /// Weight of a request beyond its tenant's quota, relative to one within it.
     pub over_quota_weight: f64,
     /// How many poolers share the endpoints.
@@ -202,7 +202,7 @@
     fn default() -> Self {
         Settings {
             classes: vec![RequestClass::default()],
-            tenant_quota: Vec::new(),
+            tenant_quotas: Vec::new(),
             over_quota_weight: 1.0,
             pooler_count: 1,
             zone: 0,
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -36,7 +36,7 @@
 /// Checks every setting that has a range.
 pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     validate_general(settings)?;
-    for (index, quota) in settings.tenant_quota.iter().enumerate() {
+    for (index, quota) in settings.tenant_quotas.iter().enumerate() {
         require(
             quota.is_none_or(|quota| quota >= 0.0),
             || format!("customers[{index}].quotaPerS"),
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -84,7 +84,7 @@
 fn a_tenant_within_a_fractional_quota_per_pooler_is_not_over_quota() {
     let settings = Settings {
         pooler_count: 100,
-        tenant_quota: vec![Some(40.0)],
+        tenant_quotas: vec![Some(40.0)],
         over_quota_weight: 0.0,
         ..default_settings()
     };
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -57,7 +57,7 @@
     let mut settings = default_settings();
     settings.classes[KEYED_WRITE].deduplication_window = secs([0.4, 0.8, 1.2, 2.0][random.usize(..4)]);
     Settings {
-        tenant_quota: if random.bool() { vec![Some(50.0), Some(3.0)] } else { Vec::new() },
+        tenant_quotas: if random.bool() { vec![Some(50.0), Some(3.0)] } else { Vec::new() },
         over_quota_weight: random.f64(),
         pooler_count: [1, 3, 20][random.usize(..3)],
         health_checks: random.bool(),
--- a/tests/policy/settings.rs
+++ b/tests/policy/settings.rs
@@ -24,7 +24,7 @@
         (|s| s.slow_start_window = secs(f64::INFINITY), "invariants.warmUp"),
         (|s| s.initial_capacity = 0.0, "invariants.coldFrom"),
         (|s| s.overload_limit = Some(-1.0), "invariants.tipMultiple"),
-        (|s| s.tenant_quota = vec![Some(-1.0)], "customers[0].quotaPerS"),
+        (|s| s.tenant_quotas = vec![Some(-1.0)], "customers[0].quotaPerS"),
         (|s| s.classes[2].late_weight = 1.5, "classes[2].lateWorth"),
     ];
     for (change, field) in cases {
