--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -74,7 +74,10 @@
 #[case::no_endpoints(json!({"index": 41}))]
 fn a_cached_list_that_cannot_be_read_counts_as_empty(#[case] known: Value) {
     let list = parse(&config_with("/known", known)).unwrap().cached_list;
-    assert_eq!((list.index, list.snapshot, list.complete, list.endpoints.len()), (0, false, false, 0));
+    assert_eq!(
+        (list.version, list.is_snapshot, list.is_complete, list.endpoints.len()),
+        (0, false, false, 0)
+    );
 }
 
 #[test]
@@ -83,7 +86,10 @@
         json!({"name": "s-1", "address": "10.0.0.1:5", "zone": "here", "group": 2, "status": "SERVING"});
     let known = json!({"index": 41, "snapshot": true, "endpoints": [entry, {"name": "s-2"}]});
     let list = parse(&config_with("/known", known)).unwrap().cached_list;
-    assert_eq!((list.index, list.snapshot, list.complete, list.endpoints.len()), (41, true, false, 1));
+    assert_eq!(
+        (list.version, list.is_snapshot, list.is_complete, list.endpoints.len()),
+        (41, true, false, 1)
+    );
     assert_eq!((&*list.endpoints[0].name, list.endpoints[0].status), ("s-1", EndpointStatus::Serving));
 }
 
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -23,11 +23,11 @@
 #[serde(try_from = "RawEndpointList")]
 pub(crate) struct EndpointList {
     /// The version of the list.
-    pub index: u64,
+    pub version: u64,
     /// Whether it is a snapshot, with every endpoint; a delta has those that have changed.
-    pub snapshot: bool,
+    pub is_snapshot: bool,
     /// Whether every entry could be read. What a list lacks that is not complete is unknown, not removed.
-    pub complete: bool,
+    pub is_complete: bool,
     /// The entries that could be read.
     pub endpoints: Vec<ListedEndpoint>,
 }
@@ -103,9 +103,9 @@
         let entry_count = entries.len();
         let endpoints: Vec<ListedEndpoint> = entries.into_iter().filter_map(RawEndpoint::decode).collect();
         Ok(EndpointList {
-            index: version as u64,
-            snapshot: raw.is_snapshot,
-            complete: endpoints.len() == entry_count,
+            version: version as u64,
+            is_snapshot: raw.is_snapshot,
+            is_complete: endpoints.len() == entry_count,
             endpoints,
         })
     }
--- a/src/endpoint_list/tests.rs
+++ b/src/endpoint_list/tests.rs
@@ -19,14 +19,14 @@
 
 fn decode_entry(entry: Value) -> Option<ListedEndpoint> {
     let list = decode(json!({"index": 1, "endpoints": [entry]})).unwrap();
-    assert_eq!(list.complete, !list.endpoints.is_empty());
+    assert_eq!(list.is_complete, !list.endpoints.is_empty());
     list.endpoints.into_iter().next()
 }
 
 #[test]
 fn a_list_is_decoded() {
     let list = decode(json!({"index": 43.0, "snapshot": true, "odd": 1, "endpoints": [entry()]})).unwrap();
-    assert_eq!((list.index, list.snapshot, list.complete, list.endpoints.len()), (43, true, true, 1));
+    assert_eq!((list.version, list.is_snapshot, list.is_complete, list.endpoints.len()), (43, true, true, 1));
     let endpoint = &list.endpoints[0];
     assert_eq!((&*endpoint.name, endpoint.zone.as_str(), endpoint.group), ("s-1", "zone-a", 2));
     assert_eq!((endpoint.address, endpoint.status), (([10, 0, 0, 1], 5).into(), EndpointStatus::Serving));
@@ -55,7 +55,7 @@
 fn an_entry_that_cannot_be_read_is_left_out(#[case] odd: Value) {
     assert!(decode_entry(odd.clone()).is_none());
     let list = decode(json!({"index": 1, "endpoints": [entry(), odd, entry()]})).unwrap();
-    assert_eq!((list.complete, list.endpoints.len()), (false, 2));
+    assert_eq!((list.is_complete, list.endpoints.len()), (false, 2));
 }
 
 #[rstest]
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -128,8 +128,8 @@
 
     fn apply_list(&mut self, list: EndpointList, id: ConnectionId, context: &mut Context) {
         self.mark_answered(id);
-        self.list_version = list.index;
-        let kind = if list.snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta };
+        self.list_version = list.version;
+        let kind = if list.is_snapshot { UpdateKind::Snapshot } else { UpdateKind::Delta };
         context.events.push_back(Event::EndpointsUpdated(kind, list.endpoints));
     }
 
@@ -157,7 +157,7 @@
 fn decode_list(text: &[u8]) -> Option<EndpointList> {
     let text = std::str::from_utf8(text).ok()?;
     let value = json::parse(text).ok()?;
-    serde_json::from_value::<EndpointList>(value).ok().filter(|list| list.complete)
+    serde_json::from_value::<EndpointList>(value).ok().filter(|list| list.is_complete)
 }
 
 #[cfg(test)]
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -121,7 +121,7 @@
             policy,
             frontend,
             backend: Backend::new(limits.backend, budget.clone(), keepalive, connect_timeout),
-            discovery: Discovery::new(config.discovery, config.cached_list.index, budget),
+            discovery: Discovery::new(config.discovery, config.cached_list.version, budget),
             signals,
             requests: ActiveRequests::default(),
             queries: QueryTranslator::new(config),
