--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -56,7 +56,7 @@
     /// Names of the zones, in the order of the settings.
     pub zones: Vec<String>,
     /// After what time an endpoint closes an idle connection (seconds).
-    pub keepalive: f64,
+    pub keepalive_timeout: f64,
     /// The endpoint list as the file caches it, for the time until discovery answers.
     pub cached_list: EndpointList,
 }
@@ -115,7 +115,7 @@
         let raw_settings: RawSettings = lenient::or_default(self.settings);
         let settings = decode_valid_settings(&raw_settings)?;
         Ok(Config {
-            keepalive: decode_keepalive(&raw_settings)?,
+            keepalive_timeout: decode_keepalive(&raw_settings)?,
             name: self.name.unwrap_or_else(|| DEFAULT_NAME.to_string()),
             listen: decode_address("listen", self.listen)?,
             discovery: decode_address("discovery", self.discovery)?,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -32,7 +32,10 @@
 fn the_smallest_configuration_has_the_defaults() {
     let config = parse(&smallest_config()).unwrap();
     assert_eq!((config.name.as_str(), config.seed), ("pg-pooler", 0x7f));
-    assert_eq!((config.max_descriptors, config.max_memory, config.keepalive), (1024, 192_000_000, 15.0));
+    assert_eq!(
+        (config.max_descriptors, config.max_memory, config.keepalive_timeout),
+        (1024, 192_000_000, 15.0)
+    );
     assert_eq!(
         (config.classes.as_slice(), config.tenants.len(), config.zones.len()),
         (&["a".into()][..], 0, 0)
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -113,7 +113,7 @@
         let longest_deadline = duration_of(settings.longest_deadline());
         let connect_timeout = duration_of(settings.connect_timeout);
         let max_retry_after = settings.send_retry_after.then(|| duration_of(settings.max_retry_after));
-        let keepalive = duration_of(Span::from_secs(config.keepalive));
+        let keepalive = duration_of(Span::from_secs(config.keepalive_timeout));
         // Cancel keys must not follow the policy's random numbers, which are drawn with the seed itself.
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
