--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -183,7 +183,7 @@
 /// The present capacity of an endpoint, as a share of its full one.
 fn capacity(endpoint: EndpointKey, cluster: &Cluster) -> f64 {
     let uptime = cluster.endpoint(endpoint).listing().min_uptime(cluster.clock(), cluster.now());
-    uptime.map_or(1.0, |uptime| cluster.settings().capacity_after(uptime))
+    uptime.map_or(1.0, |uptime| cluster.settings().capacity_at_uptime(uptime))
 }
 
 fn group_capacity(group: &Group, cluster: &Cluster) -> f64 {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -189,11 +189,11 @@
     }
 
     /// Capacity of an endpoint so long after its start, as a share of its full one.
-    pub fn capacity_after(&self, time: Span) -> f64 {
-        if time >= self.slow_start_window {
+    pub fn capacity_at_uptime(&self, uptime: Span) -> f64 {
+        if uptime >= self.slow_start_window {
             return 1.0;
         }
-        let warmed_up = (time / self.slow_start_window).max(0.0);
+        let warmed_up = (uptime / self.slow_start_window).max(0.0);
         self.initial_capacity + (1.0 - self.initial_capacity) * warmed_up
     }
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -159,7 +159,7 @@
     for (first, start) in sent_at.iter().enumerate() {
         let window =
             sent_at[first..].iter().take_while(|sent| **sent <= start + settings.overload_window.as_secs());
-        let capacity = settings.capacity_after(secs(start - started_at)) * full_capacity;
+        let capacity = settings.capacity_at_uptime(secs(start - started_at)) * full_capacity;
         let limit = overload_limit(settings) * capacity * settings.overload_window.as_secs();
         let chance = if limit < 30.0 { 3.0 } else { 2.0 };
         let count = window.count() as f64;
