--- a/src/policy/cluster/clock/tests.rs
+++ b/src/policy/cluster/clock/tests.rs
@@ -1,7 +1,7 @@
 use rstest::rstest;
 
 use super::*;
-use crate::time::tests::{at, cluster, secs};
+use crate::time::tests::{at, cluster_at, secs};
 
 /// Seconds that an answer takes.
 const ROUND_TRIP: f64 = 0.02;
@@ -11,7 +11,7 @@
 /// A primary whose clock is ahead by `offset` answers a request that was sent at `sent_at`.
 fn primary_answers(clock: &mut ClusterClock, offset: f64, sent_at: f64) {
     clock.observe_present_time(
-        cluster(sent_at + ROUND_TRIP / 2.0 + offset),
+        cluster_at(sent_at + ROUND_TRIP / 2.0 + offset),
         at(sent_at),
         at(sent_at + ROUND_TRIP),
     );
@@ -29,18 +29,21 @@
 fn a_shared_clock_tells_the_same_time_whatever_is_observed() {
     let mut clock = ClusterClock::new(true);
     primary_answers(&mut clock, 5.0, 100.0);
-    clock.observe_past_time(cluster(200.0), at(100.0));
-    let expected = (Some(cluster(101.0)), cluster(101.0), Some(cluster(101.0)));
+    clock.observe_past_time(cluster_at(200.0), at(100.0));
+    let expected = (Some(cluster_at(101.0)), cluster_at(101.0), Some(cluster_at(101.0)));
     assert_eq!((clock.earliest(at(101.0)), clock.likely(at(101.0)), clock.latest(at(101.0))), expected);
-    assert!(clock.is_credible(cluster(101.0005), at(101.0)) && !clock.is_credible(cluster(101.1), at(101.0)));
+    assert!(
+        clock.is_credible(cluster_at(101.0005), at(101.0))
+            && !clock.is_credible(cluster_at(101.1), at(101.0))
+    );
 }
 
 #[test]
 fn before_any_answer_the_present_is_the_poolers_without_bounds() {
     let clock = ClusterClock::new(false);
-    let expected = (None, cluster(100.0), None);
+    let expected = (None, cluster_at(100.0), None);
     assert_eq!((clock.earliest(at(100.0)), clock.likely(at(100.0)), clock.latest(at(100.0))), expected);
-    assert!(!clock.is_credible(cluster(105.0), at(100.0)));
+    assert!(!clock.is_credible(cluster_at(105.0), at(100.0)));
 }
 
 #[rstest]
@@ -50,12 +53,12 @@
         primary_answers(&mut clock, offset, sent_at);
     }
     let present = 102.0 + offset;
-    assert!(earliest(&clock, 102.0) <= cluster(present) && cluster(present) <= latest(&clock, 102.0));
+    assert!(earliest(&clock, 102.0) <= cluster_at(present) && cluster_at(present) <= latest(&clock, 102.0));
     assert!(latest(&clock, 102.0) - earliest(&clock, 102.0) <= secs(ROUND_TRIP + ROUNDING_AND_DRIFT));
-    assert!((clock.likely(at(102.0)) - cluster(present)).abs() <= secs(ROUND_TRIP));
+    assert!((clock.likely(at(102.0)) - cluster_at(present)).abs() <= secs(ROUND_TRIP));
     assert!(
-        clock.is_credible(cluster(present), at(102.0))
-            && !clock.is_credible(cluster(present + 0.1), at(102.0))
+        clock.is_credible(cluster_at(present), at(102.0))
+            && !clock.is_credible(cluster_at(present + 0.1), at(102.0))
     );
 }
 
@@ -65,29 +68,32 @@
     let mut clock = ClusterClock::new(false);
     primary_answers(&mut clock, 0.0, 100.0);
     primary_answers(&mut clock, 1e9, 101.0);
-    assert!((clock.likely(at(101.0)) - cluster(101.0)).abs() < secs(0.1));
+    assert!((clock.likely(at(101.0)) - cluster_at(101.0)).abs() < secs(0.1));
     primary_answers(&mut clock, -50.0, 102.0);
-    assert!((clock.likely(at(102.0)) - cluster(102.0)).abs() < secs(0.1), "the two contradict each other");
+    assert!((clock.likely(at(102.0)) - cluster_at(102.0)).abs() < secs(0.1), "the two contradict each other");
     primary_answers(&mut clock, 0.0, 103.0);
     primary_answers(&mut clock, -50.0, 104.0);
     assert!(
-        (clock.likely(at(104.0)) - cluster(104.0)).abs() < secs(0.1),
+        (clock.likely(at(104.0)) - cluster_at(104.0)).abs() < secs(0.1),
         "an answer in between confirmed the bounds"
     );
     primary_answers(&mut clock, -50.0, 105.0);
-    assert!((clock.likely(at(105.0)) - cluster(55.0)).abs() < secs(0.1), "the clock was stepped");
+    assert!((clock.likely(at(105.0)) - cluster_at(55.0)).abs() < secs(0.1), "the clock was stepped");
 }
 
 #[test]
 fn a_replica_bounds_the_present_from_below_only() {
     let mut clock = ClusterClock::new(false);
-    clock.observe_past_time(cluster(99.0), at(100.0));
-    clock.observe_past_time(cluster(90.0), at(101.0));
+    clock.observe_past_time(cluster_at(99.0), at(100.0));
+    clock.observe_past_time(cluster_at(90.0), at(101.0));
     let at_least = earliest(&clock, 101.0);
-    assert!((cluster(99.9)..=cluster(100.0)).contains(&at_least), "{at_least:?}");
-    assert_eq!((clock.likely(at(101.0)), clock.latest(at(101.0))), (cluster(101.0), None));
-    clock.observe_past_time(cluster(1e9), at(102.0));
-    assert!(earliest(&clock, 102.0) <= cluster(102.0), "a time in the future is not believed of a replica");
+    assert!((cluster_at(99.9)..=cluster_at(100.0)).contains(&at_least), "{at_least:?}");
+    assert_eq!((clock.likely(at(101.0)), clock.latest(at(101.0))), (cluster_at(101.0), None));
+    clock.observe_past_time(cluster_at(1e9), at(102.0));
+    assert!(
+        earliest(&clock, 102.0) <= cluster_at(102.0),
+        "a time in the future is not believed of a replica"
+    );
 }
 
 #[test]
--- a/src/policy/cluster/endpoint_table/tests.rs
+++ b/src/policy/cluster/endpoint_table/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::time::tests::{at, cluster};
+use crate::time::tests::{at, cluster_at};
 
 fn entry(id: &str, group: u32, status: EndpointStatus) -> Endpoint {
     Endpoint { id: id.into(), group, status, ..Endpoint::default() }
@@ -59,7 +59,8 @@
 #[test]
 fn an_update_names_the_endpoints_that_it_adds_and_those_that_have_restarted() {
     let mut table = EndpointTable::default();
-    let started = |id: &str, seconds: f64| Endpoint { started_at: Some(cluster(seconds)), ..serving(id, 0) };
+    let started =
+        |id: &str, seconds: f64| Endpoint { started_at: Some(cluster_at(seconds)), ..serving(id, 0) };
     let update = table.apply(UpdateKind::Snapshot, &[started("a", 1.0), serving("b", 0)], at(2.0));
     assert_eq!(update, StartedEndpoints { added: vec![0, 1], restarted: vec![] });
     let update = table.apply(UpdateKind::Delta, &[started("a", 1.0), started("b", 3.0)], at(4.0));
--- a/src/policy/endpoint/evidence/tests.rs
+++ b/src/policy/endpoint/evidence/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::interface::LoadReport;
-use crate::time::tests::{at, cluster, secs};
+use crate::time::tests::{at, cluster_at, secs};
 
 /// When the attempt was sent (seconds).
 const SENT_AT: f64 = 10.0;
@@ -46,7 +46,7 @@
             class_latency: &self.latency,
             settings: &self.settings,
             now: at(SENT_AT + elapsed),
-            cluster_now: cluster(SENT_AT + elapsed),
+            cluster_now: cluster_at(SENT_AT + elapsed),
         };
         observation.evidence()
     }
--- a/src/policy/endpoint/replication/tests.rs
+++ b/src/policy/endpoint/replication/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::time::tests::{at, cluster};
+use crate::time::tests::{at, cluster_at};
 
 /// The clock of a pooler that reads the same as the endpoints.
 const CLOCK: ClusterClock = ClusterClock::new(true);
 
 fn report(log_position: f64, role: Role) -> LoadReport {
-    LoadReport { log_position: Some(cluster(log_position)), role: Some(role) }
+    LoadReport { log_position: Some(cluster_at(log_position)), role: Some(role) }
 }
 
 #[test]
@@ -16,7 +16,7 @@
     replication.observe(&report(50.0, Role::Replica), ReportAge::Current, &CLOCK, at(12.0));
     replication.observe(&report(f64::NAN, Role::Replica), ReportAge::Current, &CLOCK, at(13.0));
     let known = (replication.log_position(), replication.reported_at());
-    assert_eq!(known, (Some(cluster(10.0)), Some(at(10.0))));
+    assert_eq!(known, (Some(cluster_at(10.0)), Some(at(10.0))));
 }
 
 #[test]
--- a/src/policy/endpoint/tests.rs
+++ b/src/policy/endpoint/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::interface::Role;
-use crate::time::tests::{at, cluster, secs};
+use crate::time::tests::{at, cluster_at, secs};
 
 /// The clock of a pooler that reads the same as the endpoints.
 const CLOCK: ClusterClock = ClusterClock::new(true);
@@ -10,7 +10,7 @@
 }
 
 fn report(log_position: f64, role: Role) -> LoadReport {
-    LoadReport { log_position: Some(cluster(log_position)), role: Some(role) }
+    LoadReport { log_position: Some(cluster_at(log_position)), role: Some(role) }
 }
 
 #[test]
@@ -29,7 +29,7 @@
     let mut rng = Rng::with_seed(1);
     assert!(endpoint.record_failure(3.0, at(9.5), secs(0.25), &mut rng).is_some());
     assert!(endpoint.health().is_ejected());
-    let entry = Endpoint { id: "db-1".into(), started_at: Some(cluster(9.0)), ..Endpoint::default() };
+    let entry = Endpoint { id: "db-1".into(), started_at: Some(cluster_at(9.0)), ..Endpoint::default() };
     assert_eq!(endpoint.apply(UpdateKind::Delta, &entry, at(10.0)), Restart::Restarted);
     assert_eq!(endpoint.health().ejected_until(), None);
     assert_eq!(endpoint.listing().min_uptime(&CLOCK, at(10.0)), Some(secs(1.0)));
--- a/src/policy/freshness/tests.rs
+++ b/src/policy/freshness/tests.rs
@@ -4,7 +4,7 @@
 use crate::interface::{LoadReport, Role};
 use crate::policy::endpoint::ReportAge;
 use crate::settings::StaleReadHandling;
-use crate::time::tests::{at, cluster as position, secs};
+use crate::time::tests::{at, cluster_at as position, secs};
 
 fn cluster(now: f64, stale_reads: StaleReadHandling) -> Cluster {
     let mut cluster = Cluster::new(Settings { stale_reads, ..Settings::default() });
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -13,23 +13,23 @@
 }
 
 /// The instant on the database hosts' clock so many seconds after its zero.
-pub(crate) const fn cluster(seconds: f64) -> ClusterInstant {
+pub(crate) const fn cluster_at(seconds: f64) -> ClusterInstant {
     ClusterInstant::from_secs(seconds)
 }
 
 #[test]
 fn the_difference_of_two_instants_is_a_span_and_may_be_negative() {
     assert_eq!(at(3.0) - at(1.0), secs(2.0));
-    assert_eq!(cluster(1.0) - cluster(3.0), secs(-2.0));
+    assert_eq!(cluster_at(1.0) - cluster_at(3.0), secs(-2.0));
     assert_eq!(at(1.0) + secs(2.0) - secs(0.5), at(2.5));
 }
 
 #[test]
 fn an_offset_leads_from_one_clock_to_the_other_and_back() {
-    let offset = cluster(103.0).offset_from(at(100.0));
+    let offset = cluster_at(103.0).offset_from(at(100.0));
     assert_eq!(offset, secs(3.0));
-    assert_eq!(at(101.0).to_cluster(offset), cluster(104.0));
-    assert_eq!(cluster(104.0).to_local(offset), at(101.0));
+    assert_eq!(at(101.0).to_cluster(offset), cluster_at(104.0));
+    assert_eq!(cluster_at(104.0).to_local(offset), at(101.0));
 }
 
 #[test]
