--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -123,18 +123,18 @@
         self.cluster.advance_to(now);
         match event {
             Event::WatchFailed => self.watch_failed(),
-            Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
+            Event::EndpointsUpdated { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
-            Event::HealthChecked { endpoint, outcome, report } => {
+            Event::HealthCheckFinished { endpoint, outcome, report } => {
                 self.health_checked(&endpoint, outcome, &report);
             }
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
             }
             Event::ShutdownImminent { id } => self.shutdown_imminent(&id),
-            Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
-            Event::Timer { cookie } => self.request_timer_expired(cookie),
+            Event::TimerExpired { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
+            Event::TimerExpired { cookie } => self.request_timer_expired(cookie),
         }
         self.schedule_housekeeping();
         actions.append(&mut self.actions);
