--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -123,7 +123,7 @@
     }
 
     /// Closes the connections whose idle timeout has passed, those idle for longest first.
-    pub fn close_idle(&mut self, context: &mut Context) {
+    pub fn close_idle_connections(&mut self, context: &mut Context) {
         let now = context.reactor.now();
         context.reactor.set_timer(now + IDLE_SWEEP_INTERVAL, TimerEvent::IdleSweep);
         while let Some(idle) = IdleConnection::find(&self.connections, now) {
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -125,7 +125,7 @@
         match timer {
             TimerEvent::Policy(cookie) => self.notify_policy(interface::Event::Timer { cookie }, context),
             TimerEvent::RetryAccept => self.frontend.accept(context),
-            TimerEvent::IdleSweep => self.frontend.close_idle(context),
+            TimerEvent::IdleSweep => self.frontend.close_idle_connections(context),
             TimerEvent::Client(client) => self.frontend.timer_expired(client, context),
             TimerEvent::Backend(connection) => self.backend.timer_expired(connection, context),
             TimerEvent::Discovery(watch) => self.discovery.timer_expired(watch, context),
