--- a/src/policy/endpoint/outlier_detection.rs
+++ b/src/policy/endpoint/outlier_detection.rs
@@ -19,7 +19,7 @@
 /// Duration of the first ejection, in multiples of the connect timeout; doubles with each relapse ...
 const FIRST_EJECTION: f64 = 2.0;
 /// ... up to this multiple, so that a recovered endpoint is reinstated within a few seconds.
-pub(crate) const MAX_EJECTION: f64 = 12.0;
+pub(crate) const MAX_EJECTION_TIME: f64 = 12.0;
 /// Relapses are counted up to this many: the ejection has its longest duration before.
 const MAX_COUNTED_EJECTIONS: i32 = 5;
 
@@ -63,12 +63,12 @@
     /// Duration of the ejection that begins now.
     fn next_ejection(&mut self, now: LocalInstant, connect_timeout: Span) -> Span {
         // One successful trial does not clear an endpoint that fails now and then: a relapse lasts longer.
-        let relapse_time = connect_timeout * MAX_EJECTION;
+        let relapse_time = connect_timeout * MAX_EJECTION_TIME;
         let is_relapse = self.is_ejected() || self.reinstated_at.is_some_and(|at| now - at < relapse_time);
         let earlier = if is_relapse { self.consecutive_ejections } else { 0 };
         self.consecutive_ejections = (earlier + 1).min(MAX_COUNTED_EJECTIONS);
         let doublings = f64::from(1 << (self.consecutive_ejections - 1));
-        (FIRST_EJECTION * doublings).min(MAX_EJECTION) * connect_timeout
+        (FIRST_EJECTION * doublings).min(MAX_EJECTION_TIME) * connect_timeout
     }
 
     /// Notes that a request was served. Returns whether that reinstates the endpoint.
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -1,12 +1,12 @@
 //! Failover: the election of a group's primary, the search for a lost one, and the requests that wait for it.
 
 use crate::interface::{Action, StateChange};
-use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
+use crate::policy::endpoint::outlier_detection::MAX_EJECTION_TIME;
 use crate::policy::primary::{self, search};
 use crate::policy::Policy;
 
 /// A group counts as in use for this time after a request for it, in multiples of the connect timeout.
-const GROUP_IN_USE_FOR: f64 = MAX_EJECTION;
+const GROUP_IN_USE_FOR: f64 = MAX_EJECTION_TIME;
 
 impl Policy {
     /// Makes the endpoint with the newest claim the group's primary, and dispatches queued requests.
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -20,7 +20,7 @@
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey};
-use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
+use crate::policy::endpoint::outlier_detection::MAX_EJECTION_TIME;
 use crate::policy::freshness::{self, Freshness, RequiredPosition};
 use crate::policy::give_up::GiveUpReason;
 use crate::policy::random::TwoChoices;
@@ -279,7 +279,7 @@
     /// Whether it has answered a request in the time of the longest ejection, and since its last failure to
     /// connect.
     fn has_answered_recently(&self, endpoint: EndpointKey) -> bool {
-        let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION;
+        let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION_TIME;
         let state = self.cluster.endpoint(endpoint);
         let since = Some(self.cluster.now() - longest_ejection).max(state.health().connect_failed_at());
         state.last_response_at() > since
