--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -43,7 +43,7 @@
     }
 
     /// Applies an update of the endpoint list. Returns the endpoints that were added or have restarted.
-    pub(crate) fn apply(&mut self, kind: UpdateKind, entries: &[Endpoint]) -> StartedEndpoints {
+    pub(crate) fn apply_list_update(&mut self, kind: UpdateKind, entries: &[Endpoint]) -> StartedEndpoints {
         for started_at in entries.iter().filter_map(|entry| entry.started_at) {
             self.clock.observe_past_time(started_at, self.now);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -179,7 +179,7 @@
         } else if self.watch.succeeded() == WatchChange::Changed {
             self.actions.push(Action::Log(StateChange::WatchRestored));
         }
-        let started = self.cluster.apply(kind, entries);
+        let started = self.cluster.apply_list_update(kind, entries);
         for &endpoint in &started.added {
             self.health_checks.endpoint_added(endpoint);
         }
