--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -52,7 +52,7 @@
 
     /// Takes in what an answer shows of its endpoint and of the endpoints' clock. `sent_at` is when the
     /// attempt was sent, if it is known.
-    pub(crate) fn observe_answer(
+    pub(crate) fn observe_response(
         &mut self,
         endpoint: EndpointKey,
         result: &AttemptResult,
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -152,7 +152,7 @@
     pub(crate) fn attempt_finished(&mut self, result: &AttemptResult) {
         let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
         let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
-        self.cluster.observe_answer(endpoint, result, sent_at);
+        self.cluster.observe_response(endpoint, result, sent_at);
         self.cluster.observe_report(endpoint, &result.report);
         if let Some(ended) = self.requests.end_attempt(result) {
             self.record_outcome(&ended, result);
