--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -142,7 +142,7 @@
     }
 
     /// The time that it probably is on the endpoints' clock at `now`.
-    pub(crate) fn likely(&self, now: LocalInstant) -> ClusterInstant {
+    pub(crate) fn estimate(&self, now: LocalInstant) -> ClusterInstant {
         now.to_cluster(self.likely_offset(now))
     }
 
--- a/src/policy/cluster/clock/tests.rs
+++ b/src/policy/cluster/clock/tests.rs
@@ -31,7 +31,7 @@
     primary_answers(&mut clock, 5.0, 100.0);
     clock.observe_past_time(cluster(200.0), at(100.0));
     let expected = (Some(cluster(101.0)), cluster(101.0), Some(cluster(101.0)));
-    assert_eq!((clock.earliest(at(101.0)), clock.likely(at(101.0)), clock.latest(at(101.0))), expected);
+    assert_eq!((clock.earliest(at(101.0)), clock.estimate(at(101.0)), clock.latest(at(101.0))), expected);
     assert!(clock.is_credible(cluster(101.0005), at(101.0)) && !clock.is_credible(cluster(101.1), at(101.0)));
 }
 
@@ -39,7 +39,7 @@
 fn before_any_answer_the_present_is_the_poolers_without_bounds() {
     let clock = ClusterClock::new(false);
     let expected = (None, cluster(100.0), None);
-    assert_eq!((clock.earliest(at(100.0)), clock.likely(at(100.0)), clock.latest(at(100.0))), expected);
+    assert_eq!((clock.earliest(at(100.0)), clock.estimate(at(100.0)), clock.latest(at(100.0))), expected);
     assert!(!clock.is_credible(cluster(105.0), at(100.0)));
 }
 
@@ -52,7 +52,7 @@
     let present = 102.0 + offset;
     assert!(earliest(&clock, 102.0) <= cluster(present) && cluster(present) <= latest(&clock, 102.0));
     assert!(latest(&clock, 102.0) - earliest(&clock, 102.0) <= secs(ROUND_TRIP + ROUNDING_AND_DRIFT));
-    assert!((clock.likely(at(102.0)) - cluster(present)).abs() <= secs(ROUND_TRIP));
+    assert!((clock.estimate(at(102.0)) - cluster(present)).abs() <= secs(ROUND_TRIP));
     assert!(
         clock.is_credible(cluster(present), at(102.0))
             && !clock.is_credible(cluster(present + 0.1), at(102.0))
@@ -65,17 +65,17 @@
     let mut clock = ClusterClock::new(false);
     primary_answers(&mut clock, 0.0, 100.0);
     primary_answers(&mut clock, 1e9, 101.0);
-    assert!((clock.likely(at(101.0)) - cluster(101.0)).abs() < secs(0.1));
+    assert!((clock.estimate(at(101.0)) - cluster(101.0)).abs() < secs(0.1));
     primary_answers(&mut clock, -50.0, 102.0);
-    assert!((clock.likely(at(102.0)) - cluster(102.0)).abs() < secs(0.1), "the two contradict each other");
+    assert!((clock.estimate(at(102.0)) - cluster(102.0)).abs() < secs(0.1), "the two contradict each other");
     primary_answers(&mut clock, 0.0, 103.0);
     primary_answers(&mut clock, -50.0, 104.0);
     assert!(
-        (clock.likely(at(104.0)) - cluster(104.0)).abs() < secs(0.1),
+        (clock.estimate(at(104.0)) - cluster(104.0)).abs() < secs(0.1),
         "an answer in between confirmed the bounds"
     );
     primary_answers(&mut clock, -50.0, 105.0);
-    assert!((clock.likely(at(105.0)) - cluster(55.0)).abs() < secs(0.1), "the clock was stepped");
+    assert!((clock.estimate(at(105.0)) - cluster(55.0)).abs() < secs(0.1), "the clock was stepped");
 }
 
 #[test]
@@ -85,7 +85,7 @@
     clock.observe_past_time(cluster(90.0), at(101.0));
     let at_least = earliest(&clock, 101.0);
     assert!((cluster(99.9)..=cluster(100.0)).contains(&at_least), "{at_least:?}");
-    assert_eq!((clock.likely(at(101.0)), clock.latest(at(101.0))), (cluster(101.0), None));
+    assert_eq!((clock.estimate(at(101.0)), clock.latest(at(101.0))), (cluster(101.0), None));
     clock.observe_past_time(cluster(1e9), at(102.0));
     assert!(earliest(&clock, 102.0) <= cluster(102.0), "a time in the future is not believed of a replica");
 }
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -102,8 +102,8 @@
     }
 
     /// The present as it probably is on the clock of the endpoints.
-    pub(crate) fn likely_now(&self) -> ClusterInstant {
-        self.clock.likely(self.now)
+    pub(crate) fn estimated_now(&self) -> ClusterInstant {
+        self.clock.estimate(self.now)
     }
 
     /// All endpoints and groups.
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -177,7 +177,7 @@
             class_latency: self.admission.latency(ended.class),
             settings: self.cluster.settings(),
             now,
-            cluster_now: self.cluster.likely_now(),
+            cluster_now: self.cluster.estimated_now(),
         };
         let evidence = observation.evidence();
         if observation.is_connection_refused() {
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -125,7 +125,7 @@
     /// How far it was behind when it reported its log position.
     pub(crate) fn lag(&self, clock: &ClusterClock) -> Option<Span> {
         let reported = self.reported?;
-        Some(clock.likely(reported.reported_at) - reported.position)
+        Some(clock.estimate(reported.reported_at) - reported.position)
     }
 }
 
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -65,7 +65,7 @@
 /// too early; where they check reads themselves, a wrong guess costs no more than an attempt.
 pub(crate) fn position_at(cluster: &Cluster, instant: LocalInstant) -> RequiredPosition {
     if cluster.settings().stale_reads.rejects_stale_reads() {
-        return RequiredPosition::AtLeast(cluster.clock().likely(instant));
+        return RequiredPosition::AtLeast(cluster.clock().estimate(instant));
     }
     cluster.clock().latest(instant).map_or(RequiredPosition::Unknown, RequiredPosition::AtLeast)
 }
@@ -110,13 +110,13 @@
         return true;
     };
     let has_caught_up = cluster.now() - reported_at > lag;
-    required.is_reached_at(Some(cluster.likely_now() - lag)) || has_caught_up
+    required.is_reached_at(Some(cluster.estimated_now() - lag)) || has_caught_up
 }
 
 /// Whether an endpoint may be so far behind that no bounded read may go there: by its last report, or since
 /// it has reported no position.
 pub(crate) fn may_be_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
-    let required = cluster.likely_now() - cluster.shortest_staleness();
+    let required = cluster.estimated_now() - cluster.shortest_staleness();
     endpoint.replication().log_position().is_none_or(|position| position < required)
 }
 
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -79,7 +79,7 @@
                 self.unknown_writes_until = Some(cluster.now());
             }
         }
-        self.commits.forget(MAX_SESSION_WRITES, cluster.likely_now() - MAX_SESSION_AGE);
+        self.commits.forget(MAX_SESSION_WRITES, cluster.estimated_now() - MAX_SESSION_AGE);
     }
 }
 
