--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether a log position may have been reached by `now`.
-    pub(crate) fn is_credible(&self, position: LogPosition, now: LocalInstant) -> bool {
+    pub(crate) fn is_plausible(&self, position: LogPosition, now: LocalInstant) -> bool {
         let greatest = self.known_max_offset(now).unwrap_or_default();
         position.as_secs().is_finite() && position <= now.to_cluster(greatest) + POSITION_ROUNDING
     }
--- a/src/policy/cluster/clock/tests.rs
+++ b/src/policy/cluster/clock/tests.rs
@@ -32,7 +32,9 @@
     clock.observe_past_time(cluster(200.0), at(100.0));
     let expected = (Some(cluster(101.0)), cluster(101.0), Some(cluster(101.0)));
     assert_eq!((clock.earliest(at(101.0)), clock.estimate(at(101.0)), clock.latest(at(101.0))), expected);
-    assert!(clock.is_credible(cluster(101.0005), at(101.0)) && !clock.is_credible(cluster(101.1), at(101.0)));
+    assert!(
+        clock.is_plausible(cluster(101.0005), at(101.0)) && !clock.is_plausible(cluster(101.1), at(101.0))
+    );
 }
 
 #[test]
@@ -40,7 +42,7 @@
     let clock = ClusterClock::new(false);
     let expected = (None, cluster(100.0), None);
     assert_eq!((clock.earliest(at(100.0)), clock.estimate(at(100.0)), clock.latest(at(100.0))), expected);
-    assert!(!clock.is_credible(cluster(105.0), at(100.0)));
+    assert!(!clock.is_plausible(cluster(105.0), at(100.0)));
 }
 
 #[rstest]
@@ -54,8 +56,8 @@
     assert!(latest(&clock, 102.0) - earliest(&clock, 102.0) <= secs(ROUND_TRIP + ROUNDING_AND_DRIFT));
     assert!((clock.estimate(at(102.0)) - cluster(present)).abs() <= secs(ROUND_TRIP));
     assert!(
-        clock.is_credible(cluster(present), at(102.0))
-            && !clock.is_credible(cluster(present + 0.1), at(102.0))
+        clock.is_plausible(cluster(present), at(102.0))
+            && !clock.is_plausible(cluster(present + 0.1), at(102.0))
     );
 }
 
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -73,7 +73,7 @@
         clock: &ClusterClock,
         now: LocalInstant,
     ) {
-        let position = report.log_position.filter(|position| clock.is_credible(*position, now));
+        let position = report.log_position.filter(|position| clock.is_plausible(*position, now));
         // A claim with a position below the known one was written earlier: it may be no primary by now.
         let is_outdated = position.is_some_and(|position| Some(position) < self.log_position());
         if let Some(position) = position.filter(|position| Some(*position) > self.log_position()) {
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -99,5 +99,5 @@
 /// The commit that an endpoint reported for a write.
 fn reported_commit(result: &AttemptResult, cluster: &Cluster) -> Option<LogPosition> {
     let position = result.log_position.filter(|_| result.outcome == Outcome::Success)?;
-    cluster.clock().is_credible(position, cluster.now()).then_some(position)
+    cluster.clock().is_plausible(position, cluster.now()).then_some(position)
 }
