--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -31,7 +31,7 @@
 
 impl EndpointTable {
     /// How many slots there are, those of forgotten endpoints included: every key is below this.
-    pub(crate) fn slots(&self) -> usize {
+    pub(crate) fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
--- a/src/policy/cluster/endpoint_table/tests.rs
+++ b/src/policy/cluster/endpoint_table/tests.rs
@@ -29,7 +29,7 @@
 fn an_unknown_endpoint_that_is_removed_is_not_added() {
     let mut table = EndpointTable::default();
     table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], at(1.0));
-    assert_eq!((status(&table, "a"), table.slots()), (None, 0));
+    assert_eq!((status(&table, "a"), table.slot_count()), (None, 0));
 }
 
 #[test]
@@ -53,7 +53,7 @@
     table.forget_removed(0, at(1.5));
     assert_eq!(status(&table, "a"), None);
     table.apply(UpdateKind::Delta, &[serving("b", 0)], at(3.0));
-    assert_eq!((status(&table, "b"), table.slots()), (Some(EndpointStatus::Serving), 1));
+    assert_eq!((status(&table, "b"), table.slot_count()), (Some(EndpointStatus::Serving), 1));
 }
 
 #[test]
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -193,7 +193,7 @@
 
     /// How many endpoints are kept in memory, those that were removed recently included.
     pub fn endpoints_known(&self) -> usize {
-        self.cluster.endpoints().slots()
+        self.cluster.endpoints().slot_count()
     }
 
     /// How many groups are kept in memory.
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -56,7 +56,7 @@
 
 /// For each endpoint, how many attempts are late of those sent since its last answer.
 fn count_late_attempts(requests: &RequestTable, admission: &Admission, cluster: &Cluster) -> Vec<u32> {
-    requests.count_by_endpoint(cluster.endpoints().slots(), |in_flight| {
+    requests.count_by_endpoint(cluster.endpoints().slot_count(), |in_flight| {
         let AttemptInFlight { request, attempt, .. } = in_flight;
         let late_after = admission.latency(request.class()).upper(LATE_DEVIATIONS);
         let is_late = cluster.now() - attempt.sent_at() > late_after;
