--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -66,7 +66,7 @@
     }
 
     /// Forgets groups without endpoints and requests: lists may name new ones again and again.
-    pub(crate) fn forget_empty_groups(&mut self) {
+    pub(crate) fn remove_empty_groups(&mut self) {
         self.groups.retain(|_, group| !group.is_empty());
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Forgets those endpoints of a group that were removed, and neither listed nor used since this time.
-    pub(crate) fn forget_removed(&mut self, group: u32, horizon: LocalInstant) {
+    pub(crate) fn purge_removed(&mut self, group: u32, horizon: LocalInstant) {
         let Some(group) = self.groups.get_mut(&group) else { return };
         let (slots, free, by_id) = (&self.slots, &mut self.free, &mut self.by_id);
         group.retain_members(|&endpoint| {
--- a/src/policy/cluster/endpoint_table/tests.rs
+++ b/src/policy/cluster/endpoint_table/tests.rs
@@ -39,7 +39,7 @@
     table.apply(UpdateKind::Delta, &[serving("a", 2)], at(2.0));
     let sizes: Vec<usize> = table.groups.values().map(|group| group.members().len()).collect();
     assert_eq!((table.group_ids(), sizes), (vec![1, 2], vec![0, 1]));
-    table.forget_empty_groups();
+    table.remove_empty_groups();
     assert_eq!(table.group_ids(), [2]);
 }
 
@@ -48,9 +48,9 @@
     let mut table = EndpointTable::default();
     table.apply(UpdateKind::Delta, &[serving("a", 0)], at(1.0));
     table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], at(2.0));
-    table.forget_removed(0, at(1.0));
+    table.purge_removed(0, at(1.0));
     assert_eq!(status(&table, "a"), Some(EndpointStatus::Removed), "it was listed until then");
-    table.forget_removed(0, at(1.5));
+    table.purge_removed(0, at(1.5));
     assert_eq!(status(&table, "a"), None);
     table.apply(UpdateKind::Delta, &[serving("b", 0)], at(3.0));
     assert_eq!((status(&table, "b"), table.slot_count()), (Some(EndpointStatus::Serving), 1));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -154,11 +154,11 @@
             self.actions.push(Action::Watch);
         }
         self.handle_overdue_attempts();
-        self.cluster.endpoints_mut().forget_empty_groups();
+        self.cluster.endpoints_mut().remove_empty_groups();
         self.slow_start.forget_groups(&self.cluster);
         let horizon = now - self.cluster.settings().max_watch_gap * FORGET_AFTER_WATCH_GAPS;
         for group in self.cluster.endpoints().group_ids() {
-            self.cluster.endpoints_mut().forget_removed(group, horizon);
+            self.cluster.endpoints_mut().purge_removed(group, horizon);
             self.search_primary(group);
             self.elect_primary(group);
         }
