--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -25,7 +25,7 @@
 
 impl RequiredPosition {
     /// The position that a read of this consistency requires; `session_token` is that of its session.
-    pub(crate) fn of(
+    pub(crate) fn for_consistency(
         consistency: Consistency,
         session_token: RequiredPosition,
         cluster: &Cluster,
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -86,7 +86,7 @@
             cluster,
             admission,
             slow_start,
-            required: RequiredPosition::of(consistency, request.terms().session_token, cluster),
+            required: RequiredPosition::for_consistency(consistency, request.terms().session_token, cluster),
             slow_start_share: slow_start.share_of_reads(group, cluster),
             choices,
             primary: group.primary(),
