--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -12,7 +12,7 @@
 pub(crate) use endpoint_table::{EndpointKey, EndpointTable, StartedEndpoints};
 pub(crate) use group::Group;
 
-/// Upper limit of [`Cluster::shortest_staleness`], for settings without a bounded class.
+/// Upper limit of [`Cluster::shortest_staleness_bound`], for settings without a bounded class.
 const MAX_SHORTEST_STALENESS: Span = Span::from_secs(1.0);
 
 /// The cluster as it is known at present.
@@ -21,7 +21,7 @@
     now: LocalInstant,
     clock: ClusterClock,
     endpoints: EndpointTable,
-    shortest_staleness: Span,
+    shortest_staleness_bound: Span,
 }
 
 impl Cluster {
@@ -29,7 +29,7 @@
     pub(crate) fn new(settings: Settings) -> Cluster {
         let staleness_bounds = settings.classes.iter().filter_map(RequestClass::staleness_bound);
         Cluster {
-            shortest_staleness: staleness_bounds.fold(MAX_SHORTEST_STALENESS, Span::min),
+            shortest_staleness_bound: staleness_bounds.fold(MAX_SHORTEST_STALENESS, Span::min),
             clock: ClusterClock::new(settings.shares_endpoint_clock),
             settings,
             now: LocalInstant::EPOCH,
@@ -87,8 +87,8 @@
     }
 
     /// The shortest staleness bound of any class.
-    pub(crate) fn shortest_staleness(&self) -> Span {
-        self.shortest_staleness
+    pub(crate) fn shortest_staleness_bound(&self) -> Span {
+        self.shortest_staleness_bound
     }
 
     /// The present on the pooler's clock.
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -116,7 +116,7 @@
 /// Whether an endpoint may be so far behind that no bounded read may go there: by its last report, or since
 /// it has reported no position.
 pub(crate) fn may_be_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
-    let required = cluster.estimated_now() - cluster.shortest_staleness();
+    let required = cluster.estimated_now() - cluster.shortest_staleness_bound();
     endpoint.replication().log_position().is_none_or(|position| position < required)
 }
 
@@ -136,7 +136,7 @@
 /// Whether a health check should find out a log position: it is about to be too old for reads, or it is
 /// unknown and endpoints serve stale reads, so that no read may be sent to find it out.
 pub(crate) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
-    let max_age = cluster.shortest_staleness() * REFRESH_AGE_SHARE;
+    let max_age = cluster.shortest_staleness_bound() * REFRESH_AGE_SHARE;
     let is_local = endpoint.listing().zone() == cluster.settings().zone;
     let is_old = endpoint.replication().reported_at().is_none_or(|at| cluster.now() - at > max_age);
     let is_unknown = endpoint.replication().log_position().is_none()
--- a/src/policy/freshness/tests.rs
+++ b/src/policy/freshness/tests.rs
@@ -90,5 +90,5 @@
     let remote = EndpointState::new("remote".into(), 1, 0);
     assert!(!needs_refresh(&remote, &at_time(10.8)));
     assert!(needs_refresh(&remote, &cluster(10.8, StaleReadHandling::Serve)), "no read may find it out");
-    assert_eq!(at_time(10.0).shortest_staleness(), secs(1.0));
+    assert_eq!(at_time(10.0).shortest_staleness_bound(), secs(1.0));
 }
--- a/src/policy/primary/health_checks.rs
+++ b/src/policy/primary/health_checks.rs
@@ -37,7 +37,7 @@
     /// Whether the log position of an endpoint is to be refreshed by a health check.
     pub(crate) fn is_refresh_due(&self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
         let last_sent_at = self.by_endpoint.get(endpoint).and_then(|checks| checks.last_sent_at);
-        let is_due = last_sent_at.is_none_or(|at| cluster.now() - at > cluster.shortest_staleness());
+        let is_due = last_sent_at.is_none_or(|at| cluster.now() - at > cluster.shortest_staleness_bound());
         is_due && freshness::needs_refresh(cluster.endpoint(endpoint), cluster)
     }
 
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -245,7 +245,7 @@
     /// Whether it is of a class whose reads take so long that they can block the log of a replica.
     fn is_long_read(&self) -> bool {
         let mean_latency = self.admission.latency(self.request.class()).mean();
-        self.is_eventual() && mean_latency > self.cluster.shortest_staleness()
+        self.is_eventual() && mean_latency > self.cluster.shortest_staleness_bound()
     }
 
     /// Long reads gather on the replica that is most behind, and move from a busy one to the next most
