--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -152,7 +152,7 @@
     pub(crate) fn attempt_finished(&mut self, result: &AttemptResult) {
         let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
         let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
-        self.cluster.observe_answer(endpoint, result, sent_at);
+        self.cluster.observe_response(endpoint, result, sent_at);
         self.cluster.observe_report(endpoint, &result.report);
         if let Some(ended) = self.requests.end_attempt(result) {
             self.record_outcome(&ended, result);
@@ -177,7 +177,7 @@
             class_latency: self.admission.class_latency(ended.class),
             settings: self.cluster.settings(),
             now,
-            cluster_now: self.cluster.likely_now(),
+            cluster_now: self.cluster.estimated_now(),
         };
         let evidence = observation.evidence();
         if observation.is_connection_refused() {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -154,11 +154,11 @@
             self.actions.push(Action::Watch);
         }
         self.handle_overdue_attempts();
-        self.cluster.endpoints_mut().forget_empty_groups();
+        self.cluster.endpoints_mut().remove_empty_groups();
         self.slow_start.forget_groups(&self.cluster);
         let horizon = now - self.cluster.settings().max_watch_gap * FORGET_AFTER_WATCH_GAPS;
         for group in self.cluster.endpoints().group_ids() {
-            self.cluster.endpoints_mut().forget_removed(group, horizon);
+            self.cluster.endpoints_mut().purge_removed(group, horizon);
             self.search_primary(group);
             self.update_primary(group);
         }
@@ -179,7 +179,7 @@
         } else if self.watch.succeeded() == WatchChange::Changed {
             self.actions.push(Action::Log(StateChange::WatchRestored));
         }
-        let started = self.cluster.apply(kind, entries);
+        let started = self.cluster.apply_list_update(kind, entries);
         for &endpoint in &started.added {
             self.health_checks.endpoint_added(endpoint);
         }
@@ -193,7 +193,7 @@
 
     /// How many endpoints are kept in memory, those that were removed recently included.
     pub fn endpoint_count(&self) -> usize {
-        self.cluster.endpoints().slots()
+        self.cluster.endpoints().slot_count()
     }
 
     /// How many groups are kept in memory.
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -20,7 +20,7 @@
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey};
-use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
+use crate::policy::endpoint::outlier_detection::MAX_EJECTION_TIME;
 use crate::policy::freshness::{self, Freshness, RequiredPosition};
 use crate::policy::give_up::GiveUpReason;
 use crate::policy::random::TwoChoices;
@@ -86,7 +86,11 @@
             cluster,
             admission,
             slow_start,
-            required: RequiredPosition::of(consistency, request.context().session_token, cluster),
+            required: RequiredPosition::for_consistency(
+                consistency,
+                request.context().session_token,
+                cluster,
+            ),
             slow_start_share: slow_start.share_of_reads(group, cluster),
             choices,
             primary: group.primary(),
@@ -245,7 +249,7 @@
     /// Whether it is of a class whose reads take so long that they can block the log of a replica.
     fn is_long_read(&self) -> bool {
         let mean_latency = self.admission.class_latency(self.request.class()).mean();
-        self.is_eventual() && mean_latency > self.cluster.shortest_staleness()
+        self.is_eventual() && mean_latency > self.cluster.shortest_staleness_bound()
     }
 
     /// Long reads gather on the replica that is most behind, and move from a busy one to the next most
@@ -279,7 +283,7 @@
     /// Whether it has answered a request in the time of the longest ejection, and since its last failure to
     /// connect.
     fn has_answered_recently(&self, endpoint: EndpointKey) -> bool {
-        let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION;
+        let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION_TIME;
         let state = self.cluster.endpoint(endpoint);
         let since = Some(self.cluster.now() - longest_ejection).max(state.health().connect_failed_at());
         state.last_response_at() > since
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -79,7 +79,7 @@
                 self.unknown_writes_until = Some(cluster.now());
             }
         }
-        self.commits.forget(MAX_SESSION_WRITES, cluster.likely_now() - MAX_SESSION_AGE);
+        self.commits.forget(MAX_SESSION_WRITES, cluster.estimated_now() - MAX_SESSION_AGE);
     }
 }
 
@@ -99,5 +99,5 @@
 /// The commit that an endpoint reported for a write.
 fn reported_commit(result: &AttemptResult, cluster: &Cluster) -> Option<LogPosition> {
     let position = result.log_position.filter(|_| result.outcome == Outcome::Success)?;
-    cluster.clock().is_credible(position, cluster.now()).then_some(position)
+    cluster.clock().is_plausible(position, cluster.now()).then_some(position)
 }
