--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -170,7 +170,7 @@
         match task {
             Task::HealthCheck => {
                 if message.kind == BackendMessageKind::DataRow {
-                    self.report = postgres::single_column(&message.body).and_then(load_report::parse);
+                    self.report = postgres::single_column_value(&message.body).and_then(load_report::parse);
                 }
                 Ok(())
             }
--- a/src/net/postgres/backend_messages.rs
+++ b/src/net/postgres/backend_messages.rs
@@ -47,7 +47,7 @@
     let body = &message.body;
     match message.kind {
         BackendMessageKind::RowDescription => describes_one_column(body),
-        BackendMessageKind::DataRow => single_column(body).is_some(),
+        BackendMessageKind::DataRow => single_column_value(body).is_some(),
         BackendMessageKind::CommandComplete => parse_string(body).is_some_and(is_printable_ascii),
         BackendMessageKind::ParameterStatus => parse_parameter_status(body).is_some(),
         BackendMessageKind::ReadyForQuery => *body == READY_FOR_QUERY_BODY,
@@ -65,7 +65,7 @@
 }
 
 /// Returns the value of a DataRow with one column.
-pub(crate) fn single_column(body: &[u8]) -> Option<&[u8]> {
+pub(crate) fn single_column_value(body: &[u8]) -> Option<&[u8]> {
     if !has_one_column(body, body.len()) {
         return None;
     }
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -30,7 +30,7 @@
 mod tests;
 
 pub(crate) use backend_messages::{
-    empty_query_response, parse_parameter_status, ready_for_query, single_column, ParameterStatus,
+    empty_query_response, parse_parameter_status, ready_for_query, single_column_value, ParameterStatus,
 };
 pub(crate) use error_response::{error_response, parse_error_response, Severity};
 pub(crate) use framing::{read_backend_message, read_client_message, FrameError};
--- a/src/net/postgres/tests/backend_messages.rs
+++ b/src/net/postgres/tests/backend_messages.rs
@@ -21,8 +21,8 @@
 
 #[test]
 fn single_column_is_the_whole_row() {
-    assert_eq!(single_column(b"\0\x01\0\0\0\x02ab"), Some(&b"ab"[..]));
-    assert_eq!(single_column(b"\0\x01\0\0\0\x02abc"), None);
-    assert_eq!(single_column(b"\0\x01\0\0\0"), None);
-    assert_eq!(single_column(b"\0"), None);
+    assert_eq!(single_column_value(b"\0\x01\0\0\0\x02ab"), Some(&b"ab"[..]));
+    assert_eq!(single_column_value(b"\0\x01\0\0\0\x02abc"), None);
+    assert_eq!(single_column_value(b"\0\x01\0\0\0"), None);
+    assert_eq!(single_column_value(b"\0"), None);
 }
--- a/src/net/postgres/tests/framing.rs
+++ b/src/net/postgres/tests/framing.rs
@@ -178,6 +178,6 @@
         }
         let _ = parse_error_response(&body);
         let _ = parse_parameter_status(&body);
-        let _ = single_column(&body);
+        let _ = single_column_value(&body);
     }
 }
