--- a/src/net/frontend/output.rs
+++ b/src/net/frontend/output.rs
@@ -54,7 +54,7 @@
 
     /// Confirms the start of a session.
     pub(super) fn push_session_start(&mut self, cancel_key: CancelKey) -> Result<(), ConnectionClosed> {
-        self.push(&postgres::session_start(cancel_key))
+        self.push(&postgres::startup_response(cancel_key))
     }
 
     /// Tells the client that it may send the next query.
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -39,5 +39,5 @@
 pub(crate) use query::{parse_query, query_message, ParsedQuery};
 pub(crate) use sqlstate::is_statement_error;
 pub(crate) use startup::{
-    read_startup, session_start, startup_message, Startup, AUTHENTICATION_OK, ENCRYPTION_NOT_SUPPORTED,
+    read_startup, startup_message, startup_response, Startup, AUTHENTICATION_OK, ENCRYPTION_NOT_SUPPORTED,
 };
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -114,7 +114,7 @@
 }
 
 /// Returns the answer to a client's startup packet, up to and with ReadyForQuery.
-pub(crate) fn session_start(cancel_key: CancelKey) -> Vec<u8> {
+pub(crate) fn startup_response(cancel_key: CancelKey) -> Vec<u8> {
     let mut out = Vec::new();
     write_message(&mut out, BackendMessageKind::Authentication, |out| out.extend(AUTHENTICATION_OK));
     for parameter in SESSION_PARAMETERS {
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -73,5 +73,5 @@
         b"K\0\0\0\x0c\0\0\0\x07\0\0\0\x09".to_vec(),
         b"Z\0\0\0\x05I".to_vec(),
     ];
-    assert_eq!(session_start(CancelKey { process_id: 7, secret: 9 }), expected.concat());
+    assert_eq!(startup_response(CancelKey { process_id: 7, secret: 9 }), expected.concat());
 }
