--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -6,7 +6,7 @@
 use super::arrivals::ArrivalTimes;
 use super::error::ConnectionClosed;
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
-use crate::net::postgres::{self, ClientMessage, FrameError, Startup};
+use crate::net::postgres::{self, ClientMessage, FrameError, StartupRequest};
 
 /// The input buffer with its arrival times.
 pub(super) struct Input {
@@ -73,13 +73,13 @@
 
     /// Reads the rest of a source that has ended or failed, and takes the startup message in it if there is
     /// one.
-    pub(super) fn take_final_startup(&mut self, source: &mut impl Read) -> Option<Startup> {
+    pub(super) fn take_final_startup(&mut self, source: &mut impl Read) -> Option<StartupRequest> {
         let _ = self.buffer.read_from(source);
         self.take_startup().ok().flatten()
     }
 
     /// Takes the startup message, or returns `None` until it is complete.
-    pub(super) fn take_startup(&mut self) -> Result<Option<Startup>, FrameError> {
+    pub(super) fn take_startup(&mut self) -> Result<Option<StartupRequest>, FrameError> {
         postgres::read_startup(&mut self.buffer)
     }
 
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -13,7 +13,7 @@
 use super::protocol_state::{Phase, ProtocolState};
 use crate::counters::Counters;
 use crate::net::buffer::{MemoryBudget, ReadStatus};
-use crate::net::postgres::{sqlstate, Startup};
+use crate::net::postgres::{sqlstate, StartupRequest};
 use crate::net::{CancelKey, Context, Event, Response};
 pub(super) use messages::MessageStatus;
 
@@ -187,7 +187,7 @@
         if self.phase() != Phase::Startup {
             return;
         }
-        if let Some(Startup::Cancel(key)) = self.input.take_final_startup(source) {
+        if let Some(StartupRequest::Cancel(key)) = self.input.take_final_startup(source) {
             context.events.push_back(Event::CancelRequested(key));
         }
     }
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -7,7 +7,7 @@
 use crate::net::frontend::error::ConnectionClosed;
 use crate::net::frontend::protocol_state::Phase;
 use crate::net::postgres::{
-    self, sqlstate, ClientMessage, ClientMessageKind, FrameError, ParsedQuery, Startup,
+    self, sqlstate, ClientMessage, ClientMessageKind, FrameError, ParsedQuery, StartupRequest,
 };
 use crate::net::{Context, Event, Query};
 
@@ -23,7 +23,7 @@
 /// A complete message of a client.
 enum ClientRequest {
     /// The first message, which has no kind.
-    Startup(Startup),
+    Startup(StartupRequest),
     /// Any later message.
     Message(ClientMessage),
 }
@@ -63,19 +63,23 @@
         self.close_with_error(code, &error.to_string(), &mut context.counters)
     }
 
-    fn process_startup(&mut self, startup: Startup, context: &mut Context) -> Result<(), ConnectionClosed> {
+    fn process_startup(
+        &mut self,
+        startup: StartupRequest,
+        context: &mut Context,
+    ) -> Result<(), ConnectionClosed> {
         match startup {
-            Startup::Encryption => self.output.push_encryption_declined(),
-            Startup::Session => {
+            StartupRequest::Encryption => self.output.push_encryption_declined(),
+            StartupRequest::Session => {
                 self.output.push_session_start(self.cancel_key)?;
                 self.state.start_session();
                 Ok(())
             }
-            Startup::Cancel(key) => {
+            StartupRequest::Cancel(key) => {
                 context.events.push_back(Event::CancelRequested(key));
                 Err(ConnectionClosed)
             }
-            Startup::UnsupportedVersion => {
+            StartupRequest::UnsupportedVersion => {
                 let code = sqlstate::FEATURE_NOT_SUPPORTED;
                 self.close_with_error(code, "unknown protocol", &mut context.counters)
             }
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -39,5 +39,6 @@
 pub(crate) use query::{parse_query, query_message, ParsedQuery};
 pub(crate) use sqlstate::is_statement_error;
 pub(crate) use startup::{
-    read_startup, startup_message, startup_response, Startup, AUTHENTICATION_OK, ENCRYPTION_NOT_SUPPORTED,
+    read_startup, startup_message, startup_response, StartupRequest, AUTHENTICATION_OK,
+    ENCRYPTION_NOT_SUPPORTED,
 };
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -48,7 +48,7 @@
 
 /// The request in the first packet of a client.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Startup {
+pub(crate) enum StartupRequest {
     /// Starts a session. The user, the database and the options are ignored, and no password is asked for.
     Session,
     /// Requests an encrypted connection.
@@ -62,7 +62,7 @@
 /// Takes the first packet of a client, which has no kind, or returns `None` until it is complete.
 ///
 /// Fails if its length is impossible for its request.
-pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<Startup>, FrameError> {
+pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<StartupRequest>, FrameError> {
     let Some(length) = buffer.peek().map(u32::from_be_bytes) else { return Ok(None) };
     let length = length as usize;
     if length < MIN_STARTUP_PACKET {
@@ -78,12 +78,12 @@
 }
 
 /// Parses a complete packet, with its length.
-fn parse_startup(packet: &[u8]) -> Result<Startup, FrameError> {
+fn parse_startup(packet: &[u8]) -> Result<StartupRequest, FrameError> {
     match word(packet, REQUEST_CODE).unwrap_or_default() {
-        SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(Startup::Encryption),
-        CANCEL_REQUEST => parse_cancel_key(packet).map(Startup::Cancel).ok_or(FrameError::Malformed),
-        version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => Ok(Startup::Session),
-        _ => Ok(Startup::UnsupportedVersion),
+        SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(StartupRequest::Encryption),
+        CANCEL_REQUEST => parse_cancel_key(packet).map(StartupRequest::Cancel).ok_or(FrameError::Malformed),
+        version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => Ok(StartupRequest::Session),
+        _ => Ok(StartupRequest::UnsupportedVersion),
     }
 }
 
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -18,14 +18,14 @@
 }
 
 #[rstest]
-#[case::session(&startup_message("user", "database"), Startup::Session)]
-#[case::minor_version(&packet(&[VERSION_3_0 + 2]), Startup::Session)]
-#[case::ssl(&packet(&[SSL]), Startup::Encryption)]
-#[case::gss(&packet(&[GSS]), Startup::Encryption)]
-#[case::cancel(&packet(&[CANCEL, 7, 9]), Startup::Cancel(CancelKey { process_id: 7, secret: 9 }))]
-#[case::version_2(&packet(&[2 << 16]), Startup::UnsupportedVersion)]
-#[case::version_4(&packet(&[4 << 16]), Startup::UnsupportedVersion)]
-fn startup_packet_is_parsed(#[case] bytes: &[u8], #[case] expected: Startup) {
+#[case::session(&startup_message("user", "database"), StartupRequest::Session)]
+#[case::minor_version(&packet(&[VERSION_3_0 + 2]), StartupRequest::Session)]
+#[case::ssl(&packet(&[SSL]), StartupRequest::Encryption)]
+#[case::gss(&packet(&[GSS]), StartupRequest::Encryption)]
+#[case::cancel(&packet(&[CANCEL, 7, 9]), StartupRequest::Cancel(CancelKey { process_id: 7, secret: 9 }))]
+#[case::version_2(&packet(&[2 << 16]), StartupRequest::UnsupportedVersion)]
+#[case::version_4(&packet(&[4 << 16]), StartupRequest::UnsupportedVersion)]
+fn startup_packet_is_parsed(#[case] bytes: &[u8], #[case] expected: StartupRequest) {
     let mut buffer = buffer_with(bytes);
     assert_eq!(read_startup(&mut buffer), Ok(Some(expected)));
     assert!(buffer.is_empty());
