--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -25,7 +25,7 @@
 use watch::{WatchConnection, WatchTimeouts};
 
 /// Keeps at most one watch on the endpoint list, and the version of the list that was last received.
-pub(crate) struct Discovery {
+pub(crate) struct DiscoveryClient {
     address: SocketAddr,
     watches: ConnectionTable<WatchConnection>,
     current_watch: Option<ConnectionId>,
@@ -36,10 +36,10 @@
     last_error: Option<WatchError>,
 }
 
-impl Discovery {
+impl DiscoveryClient {
     /// Has no watch yet; the first one requests the changes since version `list_version` of the list.
-    pub fn new(address: SocketAddr, list_version: u64, budget: MemoryBudget) -> Discovery {
-        Discovery {
+    pub fn new(address: SocketAddr, list_version: u64, budget: MemoryBudget) -> DiscoveryClient {
+        DiscoveryClient {
             address,
             watches: ConnectionTable::new(),
             current_watch: None,
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -25,7 +25,7 @@
 use signal_hook_mio::v1_0::Signals;
 
 use super::backend::Backend;
-use super::discovery::Discovery;
+use super::discovery::DiscoveryClient;
 use super::frontend::Frontend;
 use super::reactor::{EventSource, Handler, Readiness, TimerEvent};
 use super::shutdown::GracefulShutdown;
@@ -42,7 +42,7 @@
     policy: Policy,
     frontend: Frontend,
     backend: Backend,
-    discovery: Discovery,
+    discovery: DiscoveryClient,
     signals: Signals,
     requests: ActiveRequests,
     queries: QueryTranslator,
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -18,7 +18,7 @@
 use crate::interface::UpdateKind;
 use crate::net::backend::Backend;
 use crate::net::buffer::MemoryBudget;
-use crate::net::discovery::Discovery;
+use crate::net::discovery::DiscoveryClient;
 use crate::net::frontend::Frontend;
 use crate::net::reactor::{self, duration_of, EventSource, Reactor};
 use crate::net::shutdown::GracefulShutdown;
@@ -121,7 +121,7 @@
             policy,
             frontend,
             backend: Backend::new(limits.backend, budget.clone(), keepalive, connect_timeout),
-            discovery: Discovery::new(config.discovery, config.cached_list.version, budget),
+            discovery: DiscoveryClient::new(config.discovery, config.cached_list.version, budget),
             signals,
             requests: ActiveRequests::default(),
             queries: QueryTranslator::new(config),
