--- a/src/net/postgres/backend_messages.rs
+++ b/src/net/postgres/backend_messages.rs
@@ -1,33 +1,34 @@
-//! The messages that a PostgreSQL server sends: the pooler receives them from endpoints and sends them to its
-//! clients. A result has one row with one column.
+//! Messages that PostgreSQL servers send. The pooler receives them from endpoints and sends them to clients.
+//! A result set has exactly one row with one column.
 
 use super::message::{write_message, BackendMessage};
 use super::message_kind::BackendMessageKind;
 use super::strings::{parse_string, push_string};
 
-/// The longest value in the row of an endpoint (bytes).
+/// Maximum length of the value in a DataRow from an endpoint (bytes).
 pub(super) const MAX_VALUE: usize = 64 * 1024;
-/// The longest body of an endpoint's message that holds one column name or command tag (bytes).
+/// Maximum body length of a message from an endpoint that holds one column name or command tag (bytes).
 const MAX_NAME_BODY: usize = 1024;
-/// The longest body of an endpoint's message that holds other text, such as an error (bytes).
+/// Maximum body length of a message from an endpoint that holds other text, such as an error (bytes).
 pub(super) const MAX_TEXT_BODY: usize = 8 * 1024;
-/// The longest body of an authentication request or a cancel key of an endpoint (bytes).
+/// Maximum body length of an authentication request or a cancel key from an endpoint (bytes).
 const MAX_STARTUP_BODY: usize = 256;
 
-/// The state in ReadyForQuery of a session outside of a transaction.
-const NO_TRANSACTION: u8 = b'I';
-/// The body of ReadyForQuery of a session outside of a transaction.
-const READY_FOR_QUERY_BODY: [u8; 1] = [NO_TRANSACTION];
+/// The transaction status that ReadyForQuery reports outside of a transaction block.
+const TRANSACTION_STATUS_IDLE: u8 = b'I';
+/// The body of a ReadyForQuery outside of a transaction block.
+const READY_FOR_QUERY_BODY: [u8; 1] = [TRANSACTION_STATUS_IDLE];
 
-/// The bytes before the value of a row: the number of columns (two) and the length of the value (four).
+/// The offset of the value in a DataRow: two bytes for the column count and four for the value length.
 pub(super) const COLUMN_VALUE_OFFSET: usize = 6;
-/// The number of columns, as a RowDescription and a DataRow start with it.
+/// The column count of one that a RowDescription and a DataRow start with.
 const ONE_COLUMN: [u8; 2] = [0, 1];
-/// The bytes after the name of a column in its description: the numbers of its table, column, type and
-/// format.
-const COLUMN_NUMBERS_SIZE: usize = 18;
+/// The size of the column attributes that follow a column name in a RowDescription (bytes): table OID, column
+/// number, type OID, type size, type modifier and format code.
+const COLUMN_ATTRIBUTES_SIZE: usize = 18;
 
-/// Returns the longest body that an endpoint may send (bytes), or `None` for a kind that it does not send.
+/// Returns the maximum body length accepted from an endpoint (bytes), or `None` if endpoints do not send this
+/// kind of message.
 pub(super) fn max_body_length(kind: BackendMessageKind) -> Option<usize> {
     match kind {
         BackendMessageKind::DataRow => Some(COLUMN_VALUE_OFFSET + MAX_VALUE),
@@ -37,12 +38,12 @@
         BackendMessageKind::RowDescription | BackendMessageKind::CommandComplete => Some(MAX_NAME_BODY),
         BackendMessageKind::Authentication | BackendMessageKind::BackendKeyData => Some(MAX_STARTUP_BODY),
         BackendMessageKind::ReadyForQuery => Some(READY_FOR_QUERY_BODY.len()),
-        // Answers a query without a statement, and the pooler sends none.
+        // The response to an empty query, which the pooler never sends to an endpoint.
         BackendMessageKind::EmptyQueryResponse => None,
     }
 }
 
-/// Returns whether the body of an endpoint's message has the form that its kind requires.
+/// Returns whether the body of a message from an endpoint is valid for its kind.
 pub(super) fn is_well_formed(message: &BackendMessage) -> bool {
     let body = &message.body;
     match message.kind {
@@ -55,8 +56,8 @@
     }
 }
 
-/// Returns whether a DataRow has one column that fills the entire body. `start` needs to hold only what
-/// precedes the value; `body_length` is in bytes.
+/// Returns whether a DataRow has one column that fills the entire body. `start` must hold at least the bytes
+/// that precede the value; `body_length` is in bytes.
 pub(super) fn has_one_column(start: &[u8], body_length: usize) -> bool {
     let Some((columns, rest)) = start.split_first_chunk() else { return false };
     let Some(length) = rest.first_chunk() else { return false };
@@ -64,7 +65,7 @@
     *columns == ONE_COLUMN && COLUMN_VALUE_OFFSET + length == body_length
 }
 
-/// Returns the value of a DataRow with one column.
+/// Returns the value of a DataRow with exactly one column, or `None` for any other body.
 pub(crate) fn single_column_value(body: &[u8]) -> Option<&[u8]> {
     if !has_one_column(body, body.len()) {
         return None;
@@ -75,7 +76,7 @@
 /// Returns whether a RowDescription describes exactly one column.
 fn describes_one_column(body: &[u8]) -> bool {
     let Some(column) = body.strip_prefix(&ONE_COLUMN) else { return false };
-    let Some(name_length) = column.len().checked_sub(COLUMN_NUMBERS_SIZE) else { return false };
+    let Some(name_length) = column.len().checked_sub(COLUMN_ATTRIBUTES_SIZE) else { return false };
     parse_string(&column[..name_length]).is_some()
 }
 
@@ -83,12 +84,12 @@
     text.bytes().all(|byte| (b' '..=b'~').contains(&byte))
 }
 
-/// A parameter of the session and its value.
+/// A run-time parameter of a session and its value.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ParameterStatus<'a> {
-    /// The name of the parameter.
+    /// The parameter name.
     pub name: &'a str,
-    /// Its present value.
+    /// The current value.
     pub value: &'a str,
 }
 
@@ -99,7 +100,7 @@
     (!value.contains('\0')).then_some(ParameterStatus { name, value })
 }
 
-/// Writes a ParameterStatus.
+/// Appends a ParameterStatus.
 pub(super) fn write_parameter_status(out: &mut Vec<u8>, parameter: &ParameterStatus) {
     write_message(out, BackendMessageKind::ParameterStatus, |out| {
         push_string(out, parameter.name);
@@ -107,14 +108,14 @@
     });
 }
 
-/// Returns a ReadyForQuery of a session outside of a transaction.
+/// Returns a ReadyForQuery that reports no open transaction.
 pub(crate) fn ready_for_query() -> Vec<u8> {
     let mut out = Vec::new();
     write_message(&mut out, BackendMessageKind::ReadyForQuery, |out| out.extend(READY_FOR_QUERY_BODY));
     out
 }
 
-/// Returns the answer to a query without a statement.
+/// Returns the EmptyQueryResponse that a query without a statement receives.
 pub(crate) fn empty_query_response() -> Vec<u8> {
     let mut out = Vec::new();
     write_message(&mut out, BackendMessageKind::EmptyQueryResponse, |_| {});
--- a/src/net/postgres/error_response.rs
+++ b/src/net/postgres/error_response.rs
@@ -1,23 +1,23 @@
-//! ErrorResponse messages. Their body is a list of fields, each a kind (one byte) and a string.
+//! ErrorResponse messages. The body is a list of fields, each a type byte and a string.
 
 use super::message::write_message;
 use super::message_kind::BackendMessageKind;
 use super::strings::{push_string, TERMINATOR};
 
-/// The kinds of fields. The severity is there twice, as an endpoint may translate the first.
+/// The field types. The severity occurs twice, because an endpoint may localize the first one.
 const SEVERITY: u8 = b'S';
-const SEVERITY_UNTRANSLATED: u8 = b'V';
+const SEVERITY_NONLOCALIZED: u8 = b'V';
 const SQLSTATE: u8 = b'C';
 const MESSAGE: u8 = b'M';
 const DETAIL: u8 = b'D';
 
-/// The severities of errors that end the session.
+/// Severities of errors that end the session.
 const FATAL: &str = "FATAL";
 const PANIC: &str = "PANIC";
 /// The severity of an error after which the session continues.
 const ERROR: &str = "ERROR";
 
-/// What an error means for the session.
+/// Whether the session continues after an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Severity {
     /// The session continues.
@@ -35,12 +35,12 @@
     }
 }
 
-/// What the pooler reads in an ErrorResponse of an endpoint.
+/// The fields of an endpoint's ErrorResponse that the pooler uses.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct ErrorResponse {
-    /// Its code, see [`sqlstate`](super::sqlstate); empty where it has none.
+    /// The SQLSTATE code, see [`sqlstate`](super::sqlstate); empty if the response has none.
     pub sqlstate: String,
-    /// What it means for the session.
+    /// Whether the session continues.
     pub severity: Severity,
 }
 
@@ -54,7 +54,7 @@
     let mut out = Vec::new();
     write_message(&mut out, BackendMessageKind::ErrorResponse, |out| {
         push_field(out, SEVERITY, severity.name());
-        push_field(out, SEVERITY_UNTRANSLATED, severity.name());
+        push_field(out, SEVERITY_NONLOCALIZED, severity.name());
         push_field(out, SQLSTATE, sqlstate);
         push_field(out, MESSAGE, message);
         if let Some(detail) = detail {
@@ -65,20 +65,20 @@
     out
 }
 
-fn push_field(out: &mut Vec<u8>, kind: u8, value: &str) {
-    out.push(kind);
+fn push_field(out: &mut Vec<u8>, field_type: u8, value: &str) {
+    out.push(field_type);
     push_string(out, value);
 }
 
-/// Parses the body of an ErrorResponse. Of several codes the last counts.
+/// Parses the body of an ErrorResponse. If it has several codes, the last one is used.
 pub(crate) fn parse_error_response(body: &[u8]) -> ErrorResponse {
     let mut sqlstate = String::new();
     let mut severity = Severity::Error;
     for field in body.split(|byte| *byte == TERMINATOR) {
-        let Some((kind, value)) = field.split_first() else { continue };
-        match *kind {
+        let Some((field_type, value)) = field.split_first() else { continue };
+        match *field_type {
             SQLSTATE => sqlstate = String::from_utf8_lossy(value).into_owned(),
-            SEVERITY | SEVERITY_UNTRANSLATED if ends_session(value) => severity = Severity::Fatal,
+            SEVERITY | SEVERITY_NONLOCALIZED if ends_session(value) => severity = Severity::Fatal,
             _ => {}
         }
     }
--- a/src/net/postgres/framing.rs
+++ b/src/net/postgres/framing.rs
@@ -1,4 +1,4 @@
-//! Takes complete messages off the received bytes.
+//! Message framing: extracts complete messages from the received bytes.
 
 use thiserror::Error;
 
@@ -7,31 +7,31 @@
 use super::message_kind::{BackendMessageKind, ClientMessageKind};
 use crate::net::buffer::{RingBuffer, MAX_BUFFER_SIZE};
 
-/// The longest body of a client's message (bytes): the buffer must hold the header with it.
+/// Maximum body length of a client message (bytes): the buffer must hold the header and the body.
 pub(super) const MAX_CLIENT_BODY: usize = MAX_BUFFER_SIZE - HEADER_SIZE;
 
-/// The received bytes are not the messages of the protocol. The connection cannot be used any further. The
-/// texts are sent to clients.
+/// Why the received bytes violate the protocol. The connection cannot be used any further. The texts are sent
+/// to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum FrameError {
-    /// A message has a kind, a length or a body that the protocol does not allow.
+    /// The kind, the length or the body of a message is invalid.
     #[error("malformed message")]
     Malformed,
-    /// A message is longer than the pooler accepts.
+    /// A message exceeds the maximum length that the pooler accepts.
     #[error("message too long")]
     TooLong,
 }
 
-/// The first byte of a message and the length of its body.
+/// The header of a message.
 struct MessageHeader {
     first_byte: u8,
     /// In bytes.
     body_length: usize,
 }
 
-/// Takes the next message of a client, or returns `None` until it is complete.
+/// Consumes the next client message, or returns `None` if it is incomplete.
 ///
-/// Fails if its length is impossible or exceeds [`MAX_CLIENT_BODY`].
+/// Fails if its length is invalid or exceeds [`MAX_CLIENT_BODY`].
 pub(crate) fn read_client_message(buffer: &mut RingBuffer) -> Result<Option<ClientMessage>, FrameError> {
     let Some(header) = peek_header(buffer)? else { return Ok(None) };
     if header.body_length > MAX_CLIENT_BODY {
@@ -41,8 +41,8 @@
     Ok(take_body(buffer, &header).map(|body| Message { kind, body }))
 }
 
-/// Takes the next message of an endpoint, or returns `None` until it is complete. One that no endpoint would
-/// send is rejected by its first bytes, since the rest of it may never arrive.
+/// Consumes the next message from an endpoint, or returns `None` if it is incomplete. An invalid message is
+/// rejected as soon as its first bytes show that, since the rest may never arrive.
 pub(crate) fn read_backend_message(buffer: &mut RingBuffer) -> Result<Option<BackendMessage>, FrameError> {
     let Some([first_byte]) = buffer.peek() else { return Ok(None) };
     let kind = BackendMessageKind::from_byte(first_byte).ok_or(FrameError::Malformed)?;
@@ -52,7 +52,7 @@
         return Err(FrameError::TooLong);
     }
     if kind == BackendMessageKind::DataRow {
-        check_row_start(buffer, &header)?;
+        validate_data_row_start(buffer, &header)?;
     }
     let Some(body) = take_body(buffer, &header) else { return Ok(None) };
     let message = Message { kind, body };
@@ -62,8 +62,8 @@
     Ok(Some(message))
 }
 
-/// Checks the start of a row once it has been received, before its value.
-fn check_row_start(buffer: &RingBuffer, header: &MessageHeader) -> Result<(), FrameError> {
+/// Validates the bytes of a DataRow that precede the value, once they have been received.
+fn validate_data_row_start(buffer: &RingBuffer, header: &MessageHeader) -> Result<(), FrameError> {
     match buffer.peek::<{ HEADER_SIZE + COLUMN_VALUE_OFFSET }>() {
         Some(start) if !has_one_column(&start[HEADER_SIZE..], header.body_length) => {
             Err(FrameError::Malformed)
@@ -72,7 +72,7 @@
     }
 }
 
-/// Returns the header of the next message, or `None` until it is complete.
+/// Returns the header of the next message, or `None` if it is incomplete.
 fn peek_header(buffer: &RingBuffer) -> Result<Option<MessageHeader>, FrameError> {
     let Some([first_byte, length @ ..]) = buffer.peek::<HEADER_SIZE>() else { return Ok(None) };
     let length = u32::from_be_bytes(length) as usize;
@@ -80,7 +80,7 @@
     Ok(Some(MessageHeader { first_byte, body_length }))
 }
 
-/// Takes the message with this header and returns its body, or returns `None` until it is complete.
+/// Consumes the message with this header and returns its body, or `None` if it is incomplete.
 fn take_body(buffer: &mut RingBuffer, header: &MessageHeader) -> Option<Vec<u8>> {
     if buffer.len() < HEADER_SIZE + header.body_length {
         return None;
--- a/src/net/postgres/message_kind.rs
+++ b/src/net/postgres/message_kind.rs
@@ -1,7 +1,7 @@
-//! The kinds of messages, and the byte that each message starts with. Clients and servers use some of these
-//! bytes for different kinds.
+//! The message kinds and the type bytes that identify them. Some bytes identify different kinds in messages
+//! from clients and from servers.
 
-/// Defines an enum of kinds of messages, and its conversions from and to bytes.
+/// Defines an enum of message kinds with conversions from and to the type byte.
 macro_rules! message_kinds {
     ($(#[$attribute:meta])* $name:ident { $($kind:ident = $byte:literal,)* }) => {
         $(#[$attribute])*
@@ -12,7 +12,7 @@
         }
 
         impl $name {
-            /// Returns the kind that this byte stands for, or `None` if it stands for none.
+            /// Returns the kind that this byte identifies, or `None` if the byte is unknown.
             pub fn from_byte(byte: u8) -> Option<Self> {
                 match byte {
                     $($byte => Some($name::$kind),)*
@@ -30,7 +30,7 @@
 }
 
 message_kinds! {
-    /// A kind of message that clients send.
+    /// A kind of message that clients send to the pooler, and the pooler to endpoints.
     ClientMessageKind {
         Bind = b'B',
         Close = b'C',
@@ -50,8 +50,7 @@
 }
 
 message_kinds! {
-    /// A kind of message that PostgreSQL servers send: endpoints to the pooler, and the pooler to its
-    /// clients.
+    /// A kind of message that PostgreSQL servers send: endpoints to the pooler, and the pooler to clients.
     BackendMessageKind {
         Authentication = b'R',
         BackendKeyData = b'K',
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -1,19 +1,19 @@
-//! The messages of PostgreSQL's protocol, version 3: parsing and writing. This module performs no input or
-//! output and makes no decisions about connections.
+//! Parsing and encoding of messages of the PostgreSQL protocol, version 3. This module performs no I/O and
+//! makes no decisions about connections.
 //!
 //! Each file depends only on files above it:
 //!
-//! | file | job | depends on |
+//! | file | contents | depends on |
 //! | --- | --- | --- |
-//! | `message_kind` | Kinds of messages and their bytes | |
-//! | `strings` | Strings that end with a zero | |
-//! | `sqlstate` | Error codes | |
-//! | `message` | Header and body; writing | `message_kind` |
-//! | `backend_messages` | The messages of a PostgreSQL server | `message`, `message_kind`, `strings` |
-//! | `error_response` | The ErrorResponse among them | `message`, `message_kind`, `strings` |
-//! | `framing` | Reading of messages | `backend_messages`, `message`, `message_kind` |
-//! | `startup` | The start of a session | `backend_messages`, `framing`, `message`, `message_kind`, `strings` |
-//! | `query_comment` | The comment before a statement | |
+//! | `message_kind` | Message kinds and their type bytes | |
+//! | `strings` | Zero-terminated strings | |
+//! | `sqlstate` | SQLSTATE codes | |
+//! | `message` | Header, body and encoding | `message_kind` |
+//! | `backend_messages` | Messages that servers send | `message`, `message_kind`, `strings` |
+//! | `error_response` | ErrorResponse messages | `message`, `message_kind`, `strings` |
+//! | `framing` | Extracting messages from received bytes | `backend_messages`, `message`, `message_kind` |
+//! | `startup` | Session startup | `backend_messages`, `framing`, `message`, `message_kind`, `strings` |
+//! | `query_comment` | The leading comment of a query | |
 //! | `query` | Query messages | `message`, `message_kind`, `query_comment`, `strings` |
 
 mod backend_messages;
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -1,5 +1,5 @@
-//! Query messages: parsing of those that clients send, which are a leading comment with the fields of the
-//! request and a statement, and writing of those for endpoints.
+//! Query messages. Parses queries from clients, which consist of a leading comment with the fields of the
+//! request and a statement, and encodes queries for endpoints.
 
 use std::ops::Range;
 
@@ -14,34 +14,34 @@
 const COMMENT_START: &str = "/*";
 const COMMENT_END: &str = "*/";
 const QUOTE: char = '\'';
-/// The characters of a query that has no statement.
-const BLANKS: [char; 5] = [' ', '\t', '\r', '\n', ';'];
+/// The characters that a query without a statement may contain.
+const BLANK_CHARACTERS: [char; 5] = [' ', '\t', '\r', '\n', ';'];
 
-/// A query of a client.
+/// The content of a client's Query message.
 #[derive(Debug)]
 pub(crate) enum ParsedQuery {
-    /// The query has no statement and no comment.
+    /// The query has neither a statement nor a comment.
     Empty,
-    /// The query has a comment with valid fields, and a statement.
+    /// The query has a comment with valid fields and a statement.
     Query(Box<Query>),
 }
 
-/// Why a client's query is rejected. The texts are sent to the client.
+/// Why a client's query is invalid. The texts are sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum QueryError {
-    /// The body of the message is not one string.
+    /// The body of the message is not a single zero-terminated UTF-8 string.
     #[error("a query must be UTF-8 and end with its only zero")]
     InvalidText,
     /// The query does not start with a comment.
     #[error("no leading comment")]
-    NoComment,
-    /// The leading comment has no end.
+    MissingComment,
+    /// The leading comment is not terminated.
     #[error("the comment does not end")]
     UnterminatedComment,
-    /// Nothing follows the comment.
+    /// No statement follows the comment.
     #[error("no statement behind the comment")]
-    NoStatement,
-    /// The comment does not describe a request.
+    MissingStatement,
+    /// The fields in the comment are invalid.
     #[error(transparent)]
     Comment(#[from] CommentError),
 }
@@ -55,7 +55,7 @@
     let comment = find_leading_comment(sql)?;
     let statement = &sql[comment.end + COMMENT_END.len()..];
     if is_blank(statement) {
-        return Err(QueryError::NoStatement);
+        return Err(QueryError::MissingStatement);
     }
     let fields = RawFields::parse(&sql[comment.clone()], comment.start)?.validate()?;
     Ok(ParsedQuery::Query(Box::new(build_query(sql, statement, fields))))
@@ -84,21 +84,22 @@
 
 /// Returns whether `sql` contains no statement.
 fn is_blank(sql: &str) -> bool {
-    sql.trim_matches(BLANKS).is_empty()
+    sql.trim_matches(BLANK_CHARACTERS).is_empty()
 }
 
-/// Returns where the text inside the leading comment is (bytes).
+/// Returns the byte range of the text inside the leading comment.
 fn find_leading_comment(sql: &str) -> Result<Range<usize>, QueryError> {
-    let (before, _) = sql.split_once(COMMENT_START).ok_or(QueryError::NoComment)?;
+    let (before, _) = sql.split_once(COMMENT_START).ok_or(QueryError::MissingComment)?;
     if !before.trim().is_empty() {
-        return Err(QueryError::NoComment);
+        return Err(QueryError::MissingComment);
     }
     let start = before.len() + COMMENT_START.len();
     let end = sql.find(COMMENT_END).filter(|end| *end >= start);
     Ok(start..end.ok_or(QueryError::UnterminatedComment)?)
 }
 
-/// Returns the first quoted string of the statement, which names the session. Escaped quotes are not handled.
+/// Returns the first quoted string of the statement, which is the session key. Escaped quotes are not
+/// handled.
 fn first_quoted_string(statement: &str) -> Option<&str> {
     let (_, after_quote) = statement.split_once(QUOTE)?;
     let (quoted, _) = after_quote.split_once(QUOTE)?;
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -1,16 +1,16 @@
-//! The comment before a client's statement: pairs of names and values with commas between them, such as
+//! The comment that precedes a client's statement: comma-separated pairs of names and values, such as
 //! `id=a1, c=read, cluster=2, d=500`.
 //!
-//! | Field | Meaning | Unit or form | Required | Term in the code |
+//! | Field | Meaning | Unit or format | Required | Name in the code |
 //! | --- | --- | --- | --- | --- |
 //! | `id` | identifier of the request | text | yes | `id` |
 //! | `c` | name of the request class | text | yes | `class` |
 //! | `t` | name of the tenant | text; empty if missing | no | `tenant` |
-//! | `cluster` | group that holds the data | integer from 0 | yes | `group` |
-//! | `d` | how long the client waits | milliseconds, integer above 0 | yes | `timeout` |
-//! | `k` | idempotency key, for the endpoint | text | where the class needs it | `has_idempotency_key` |
-//! | `r` | marks a retry by the client | any text; accepted and only checked | no | `client_retry` |
-//! | `after` | time of the commit that must be seen | Unix time (ms); 0 for none | no | `session_token` |
+//! | `cluster` | group that holds the data | non-negative integer | yes | `group` |
+//! | `d` | how long the client waits | milliseconds, positive integer | yes | `timeout` |
+//! | `k` | idempotency key for the endpoint | text | if the class requires it | `has_idempotency_key` |
+//! | `r` | marks a retry by the client | any text; validated, then ignored | no | `client_retry` |
+//! | `after` | commit time that the query must see | Unix time (ms); 0 for none | no | `session_token` |
 
 use std::ops::Range;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 
 use crate::time::ClusterInstant;
 
-/// The names of the fields.
+/// The field names.
 const ID: &str = "id";
 const CLASS: &str = "c";
 const TENANT: &str = "t";
@@ -29,74 +29,75 @@
 const CLIENT_RETRY: &str = "r";
 const SESSION_TOKEN: &str = "after";
 
-/// Stands between the pairs.
+/// Separates the pairs.
 const PAIR_SEPARATOR: char = ',';
-/// Stands between the name and the value of a pair.
+/// Separates the name from the value of a pair.
 const NAME_SEPARATOR: char = '=';
 
-/// The most digits of a number: an `f64` holds all such numbers exactly. A Unix time in milliseconds has 13.
+/// Maximum number of digits in a number. An `f64` represents all such numbers exactly, and a Unix time in
+/// milliseconds has 13 digits.
 const MAX_DIGITS: usize = 15;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Why a comment is rejected. The texts are sent to the client.
+/// Why a comment is invalid. The texts are sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum CommentError {
     /// A pair has no equals sign.
     #[error("the comment is not made of names and values")]
-    NotNameAndValue,
-    /// A known field has an empty value or is there twice.
+    MalformedPair,
+    /// A known field has an empty value or occurs twice.
     #[error("a value of the comment is empty or there twice")]
     EmptyOrRepeatedValue,
     /// The identifier of the request is missing.
     #[error("no id in the comment")]
-    NoId,
+    MissingId,
     /// The class of the request is missing.
     #[error("no class in the comment")]
-    NoClass,
-    /// The group is missing or not a number.
+    MissingClass,
+    /// The group is missing or is not a valid number.
     #[error("no group number in the comment")]
-    NoGroup,
+    InvalidGroup,
     /// The timeout is missing.
     #[error("no d in the comment")]
-    NoTimeout,
-    /// The timeout is zero or not a number.
+    MissingTimeout,
+    /// The timeout is zero or is not a valid number.
     #[error("d is not a number of milliseconds above 0")]
     InvalidTimeout,
-    /// The session token is not a number.
+    /// The session token is not a valid number.
     #[error("after is not a time in milliseconds")]
     InvalidSessionToken,
 }
 
-/// The valid fields of a comment.
+/// The validated fields of a comment.
 #[derive(Debug, PartialEq)]
 pub(super) struct CommentFields {
-    /// The identifier that the client gave the request.
+    /// The request identifier that the client chose.
     pub id: String,
-    /// The name of its class.
+    /// The name of the request class.
     pub class: String,
-    /// The name of its tenant; empty without one.
+    /// The name of the tenant; empty if the comment names none.
     pub tenant: String,
-    /// The number of the group that holds its data.
+    /// The number of the group that holds the data.
     pub group: u32,
-    /// How long the client waits, above 0.
+    /// How long the client waits; greater than zero.
     pub timeout: Duration,
-    /// Where in the query the digits of the timeout are (bytes).
+    /// The byte range of the timeout's digits in the query.
     pub timeout_position: Range<usize>,
-    /// The time of the commit that the query must see.
+    /// The time of the commit that the query must see, if any.
     pub session_token: Option<ClusterInstant>,
-    /// Whether the request carries an idempotency key. Its value is for the endpoint.
+    /// Whether the request has an idempotency key. Only the endpoint uses its value.
     pub has_idempotency_key: bool,
 }
 
-/// The text of a value and its place in the query.
+/// An unparsed value and its position in the query.
 struct RawValue<'a> {
     text: &'a str,
-    /// In bytes.
+    /// The byte offset in the query.
     start: usize,
 }
 
 impl<'a> RawValue<'a> {
-    /// Returns the value without the spaces around it; `start` is the place of `padded` in the query (bytes).
+    /// Returns the value without surrounding whitespace; `start` is the byte offset of `padded` in the query.
     fn trimmed(padded: &'a str, start: usize) -> Self {
         let without_leading = padded.trim_start();
         let leading = padded.len() - without_leading.len();
@@ -108,7 +109,7 @@
     }
 }
 
-/// The fields of a comment as text. Fields of other names are ignored.
+/// The unparsed fields of a comment. Unknown fields are ignored.
 #[derive(Default)]
 pub(super) struct RawFields<'a> {
     id: Option<RawValue<'a>>,
@@ -117,20 +118,20 @@
     group: Option<RawValue<'a>>,
     timeout: Option<RawValue<'a>>,
     idempotency_key: Option<RawValue<'a>>,
-    /// Marks a retry by the client. It may have any value, which nothing reads.
+    /// Marks a retry by the client. Any non-empty value is accepted, and the value is not used.
     client_retry: Option<RawValue<'a>>,
     session_token: Option<RawValue<'a>>,
 }
 
 impl<'a> RawFields<'a> {
-    /// Parses the text inside a comment; `start` is its place in the query (bytes).
+    /// Parses the text inside a comment; `start` is its byte offset in the query.
     ///
-    /// Fails if a pair has no equals sign, or if a known field is empty or there twice.
+    /// Fails if a pair has no equals sign, or if a known field is empty or occurs twice.
     pub fn parse(comment: &'a str, start: usize) -> Result<Self, CommentError> {
         let mut fields = RawFields::default();
         let mut pair_start = start;
         for pair in comment.split(PAIR_SEPARATOR) {
-            let (name, value) = pair.split_once(NAME_SEPARATOR).ok_or(CommentError::NotNameAndValue)?;
+            let (name, value) = pair.split_once(NAME_SEPARATOR).ok_or(CommentError::MalformedPair)?;
             let value_start = pair_start + name.len() + NAME_SEPARATOR.len_utf8();
             fields.set(name.trim(), RawValue::trimmed(value, value_start))?;
             pair_start += pair.len() + PAIR_SEPARATOR.len_utf8();
@@ -138,7 +139,7 @@
         Ok(fields)
     }
 
-    /// Sets the field of this name, if there is one.
+    /// Sets the field with this name; an unknown name is ignored.
     fn set(&mut self, name: &str, value: RawValue<'a>) -> Result<(), CommentError> {
         let Some(field) = self.field_mut(name) else { return Ok(()) };
         if value.text.is_empty() || field.is_some() {
@@ -162,13 +163,13 @@
         }
     }
 
-    /// Validates the fields. The order of the checks decides which of several errors is reported.
+    /// Validates the fields. The order of the checks determines which of several errors is reported.
     pub fn validate(self) -> Result<CommentFields, CommentError> {
-        let timeout = self.timeout.ok_or(CommentError::NoTimeout)?;
+        let timeout = self.timeout.ok_or(CommentError::MissingTimeout)?;
         let session_token = parse_session_token(self.session_token)?;
-        let group = parse_group(self.group).ok_or(CommentError::NoGroup)?;
-        let id = self.id.ok_or(CommentError::NoId)?;
-        let class = self.class.ok_or(CommentError::NoClass)?;
+        let group = parse_group(self.group).ok_or(CommentError::InvalidGroup)?;
+        let id = self.id.ok_or(CommentError::MissingId)?;
+        let class = self.class.ok_or(CommentError::MissingClass)?;
         let duration = parse_timeout(&timeout).ok_or(CommentError::InvalidTimeout)?;
         Ok(CommentFields {
             id: id.text.into(),
@@ -183,7 +184,7 @@
     }
 }
 
-/// Parses the optional session token. A token of 0 requires no commit to be seen.
+/// Parses the optional session token. A token of 0 means that no particular commit has to be visible.
 fn parse_session_token(value: Option<RawValue>) -> Result<Option<ClusterInstant>, CommentError> {
     let Some(value) = value else { return Ok(None) };
     let millis = parse_millis(value.text).ok_or(CommentError::InvalidSessionToken)?;
@@ -194,13 +195,14 @@
     value?.text.parse().ok()
 }
 
-/// Returns the timeout, or `None` if it is 0 or not a number.
+/// Parses the timeout, or returns `None` if it is zero or not a valid number.
 fn parse_timeout(value: &RawValue) -> Option<Duration> {
     let millis = parse_millis(value.text)?;
     (millis > 0).then(|| Duration::from_millis(millis))
 }
 
-/// Returns a number of milliseconds, or `None` if the text is anything but digits or too long.
+/// Parses a number of milliseconds, or returns `None` if the text is not all digits or has more than
+/// [`MAX_DIGITS`].
 fn parse_millis(text: &str) -> Option<u64> {
     let is_number = text.len() <= MAX_DIGITS && text.bytes().all(|byte| byte.is_ascii_digit());
     if !is_number {
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a session: the packets that clients send first, and the answer to them.
+//! Session startup: the packets that clients send first, and the responses to them.
 
 use super::backend_messages::{ready_for_query, write_parameter_status, ParameterStatus};
 use super::framing::FrameError;
@@ -8,35 +8,36 @@
 use crate::net::buffer::RingBuffer;
 use crate::net::CancelKey;
 
-/// The words of a startup packet (bytes). They are its length, its request code and those of a cancel key.
+/// Size of a word in a startup packet (bytes). The words are the length, the request code and, in a cancel
+/// request, the two parts of the cancel key.
 const WORD_SIZE: usize = 4;
-/// The places of the words in a packet, counted in words.
+/// The positions of the words in a packet, counted in words.
 const REQUEST_CODE: usize = 1;
 const CANCEL_PROCESS_ID: usize = 2;
 const CANCEL_SECRET: usize = 3;
 
-/// The longest startup packet (bytes): it holds a few names.
+/// Maximum length of a startup packet (bytes). It needs to hold only a few names.
 const MAX_STARTUP_PACKET: usize = 10_000;
-/// The length and the request code (bytes).
+/// Minimum length of a startup packet (bytes): the length and the request code.
 const MIN_STARTUP_PACKET: usize = 2 * WORD_SIZE;
-/// The length, the request code and the two words of the key (bytes).
-const CANCEL_PACKET: usize = 4 * WORD_SIZE;
+/// Length of a cancel request (bytes): the length, the request code and the two words of the cancel key.
+const CANCEL_PACKET_LENGTH: usize = 4 * WORD_SIZE;
 
-/// A protocol version has its major number in the upper half and its minor number in the lower half.
+/// A protocol version holds the major version in the upper 16 bits and the minor version in the lower 16.
 const MINOR_VERSION_BITS: u32 = 16;
 const MAJOR_VERSION: u32 = 3;
 const PROTOCOL_VERSION: u32 = MAJOR_VERSION << MINOR_VERSION_BITS;
 
-/// The request codes of packets that start no session.
+/// Request codes of packets that do not start a session.
 const CANCEL_REQUEST: u32 = 80_877_102;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
 
-/// The answer to a client that requests encryption, which has no kind and no length.
+/// The response to an encryption request: a single byte without a message header.
 pub(crate) const ENCRYPTION_NOT_SUPPORTED: &[u8] = b"N";
-/// The body of an Authentication message that asks for nothing more.
+/// The body of an Authentication message that requires no authentication.
 pub(crate) const AUTHENTICATION_OK: [u8; 4] = [0; 4];
-/// The parameters that a client receives when its session starts.
+/// The run-time parameters that a client receives when its session starts.
 const SESSION_PARAMETERS: [ParameterStatus; 6] = [
     ParameterStatus { name: "server_version", value: "15.0" },
     ParameterStatus { name: "server_encoding", value: "UTF8" },
@@ -46,22 +47,22 @@
     ParameterStatus { name: "standard_conforming_strings", value: "on" },
 ];
 
-/// The request in the first packet of a client.
+/// The request in a client's startup packet.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum StartupRequest {
-    /// Starts a session. The user, the database and the options are ignored, and no password is asked for.
+    /// Starts a session. The user, the database and the options are ignored, and no password is requested.
     Session,
     /// Requests an encrypted connection.
     Encryption,
-    /// Cancels the query of the client that received this key.
+    /// Cancels the query of the client that was given this cancel key.
     Cancel(CancelKey),
-    /// Starts a session of a protocol version that is not supported.
+    /// Starts a session with an unsupported protocol version.
     UnsupportedVersion,
 }
 
-/// Takes the first packet of a client, which has no kind, or returns `None` until it is complete.
+/// Consumes the startup packet of a client, which has no kind byte, or returns `None` if it is incomplete.
 ///
-/// Fails if its length is impossible for its request.
+/// Fails if its length is out of range or does not match the request.
 pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<StartupRequest>, FrameError> {
     let Some(length) = buffer.peek().map(u32::from_be_bytes) else { return Ok(None) };
     let length = length as usize;
@@ -77,7 +78,7 @@
     parse_startup(&buffer.take(length)).map(Some)
 }
 
-/// Parses a complete packet, with its length.
+/// Parses a complete packet, including its length field.
 fn parse_startup(packet: &[u8]) -> Result<StartupRequest, FrameError> {
     match word(packet, REQUEST_CODE).unwrap_or_default() {
         SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(StartupRequest::Encryption),
@@ -88,19 +89,19 @@
 }
 
 fn parse_cancel_key(packet: &[u8]) -> Option<CancelKey> {
-    if packet.len() != CANCEL_PACKET {
+    if packet.len() != CANCEL_PACKET_LENGTH {
         return None;
     }
     Some(CancelKey { process_id: word(packet, CANCEL_PROCESS_ID)?, secret: word(packet, CANCEL_SECRET)? })
 }
 
-/// Returns the word at `index`, counted in words.
+/// Returns the word at `index`, which counts words.
 fn word(packet: &[u8], index: usize) -> Option<u32> {
     let bytes = packet.get(WORD_SIZE * index..)?.first_chunk()?;
     Some(u32::from_be_bytes(*bytes))
 }
 
-/// Returns the packet that starts a session with an endpoint.
+/// Returns the startup packet for a session with an endpoint.
 pub(crate) fn startup_message(user: &str, database: &str) -> Vec<u8> {
     let mut out = Vec::new();
     write_with_length(&mut out, |out| {
@@ -113,7 +114,7 @@
     out
 }
 
-/// Returns the answer to a client's startup packet, up to and with ReadyForQuery.
+/// Returns the response to a client's startup packet, up to and including ReadyForQuery.
 pub(crate) fn startup_response(cancel_key: CancelKey) -> Vec<u8> {
     let mut out = Vec::new();
     write_message(&mut out, BackendMessageKind::Authentication, |out| out.extend(AUTHENTICATION_OK));
--- a/src/net/postgres/tests/backend_messages.rs
+++ b/src/net/postgres/tests/backend_messages.rs
@@ -1,9 +1,9 @@
-//! Tests of the messages of a PostgreSQL server.
+//! Tests of messages that PostgreSQL servers send.
 
 use super::*;
 
 #[test]
-fn messages_without_parameters_are_written() {
+fn messages_without_parameters_are_encoded() {
     assert_eq!(ready_for_query(), b"Z\0\0\0\x05I");
     assert_eq!(empty_query_response(), b"I\0\0\0\x04");
 }
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn single_column_is_the_whole_row() {
+fn single_column_must_fill_the_row() {
     assert_eq!(single_column_value(b"\0\x01\0\0\0\x02ab"), Some(&b"ab"[..]));
     assert_eq!(single_column_value(b"\0\x01\0\0\0\x02abc"), None);
     assert_eq!(single_column_value(b"\0\x01\0\0\0"), None);
--- a/src/net/postgres/tests/framing.rs
+++ b/src/net/postgres/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Tests of cutting bytes into messages.
+//! Tests of message framing.
 
 use rstest::rstest;
 
@@ -6,30 +6,30 @@
 use super::super::framing::MAX_CLIENT_BODY;
 use super::*;
 
-/// The start of a message that announces a body of `body_length` bytes.
+/// The header of a message that declares a body of `body_length` bytes.
 fn header(kind: impl Into<u8>, body_length: usize) -> Vec<u8> {
     let length = (body_length + 4) as u32;
     [&[kind.into()][..], &length.to_be_bytes()].concat()
 }
 
-/// A row with one value, whose column announces `column_length` bytes.
+/// The body of a DataRow with one value, whose column declares a length of `column_length` bytes.
 fn row(column_length: usize, value: &[u8]) -> Vec<u8> {
     let length = (column_length as u32).to_be_bytes();
     [&[0, 1][..], &length, value].concat()
 }
 
-/// The start of a row message up to its value.
+/// A DataRow message up to its value.
 fn row_start(body_length: usize, column_length: usize) -> Vec<u8> {
     [header(BackendMessageKind::DataRow, body_length), row(column_length, b"")].concat()
 }
 
-/// A description of columns of this name, with the count of columns in front.
-fn description(columns: u8, name: &[u8], numbers: usize) -> Vec<u8> {
-    [&[0, columns][..], name, &vec![0; numbers]].concat()
+/// The body of a RowDescription with a column count, a column name and `attributes` bytes of attributes.
+fn description(columns: u8, name: &[u8], attributes: usize) -> Vec<u8> {
+    [&[0, columns][..], name, &vec![0; attributes]].concat()
 }
 
 #[test]
-fn messages_are_taken_one_by_one_once_complete() {
+fn complete_messages_are_consumed_one_by_one() {
     let bytes = [wire_message(ClientMessageKind::Query, b"one\0"), wire_message(b'X', b"")].concat();
     let mut buffer = buffer_with(b"");
     let mut messages = Vec::new();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn client_message_of_an_unknown_kind_is_taken() {
+fn client_message_of_an_unknown_kind_is_consumed() {
     let message = read_client_message(&mut buffer_with(&wire_message(b'x', b"body")));
     assert_eq!(message, Ok(Some(Message { kind: None, body: b"body".to_vec() })));
 }
@@ -58,16 +58,16 @@
 }
 
 #[rstest]
-#[case::length_without_itself(&[b'Q', 0, 0, 0, 3], FrameError::Malformed)]
+#[case::length_below_minimum(&[b'Q', 0, 0, 0, 3], FrameError::Malformed)]
 #[case::zero_length(&[b'Q', 0, 0, 0, 0], FrameError::Malformed)]
 #[case::one_byte_too_long(&header(b'Q', MAX_CLIENT_BODY + 1), FrameError::TooLong)]
-#[case::longest_length(&[b'Q', 255, 255, 255, 255], FrameError::TooLong)]
-fn client_message_with_a_bad_length_is_rejected(#[case] bytes: &[u8], #[case] expected: FrameError) {
+#[case::maximum_length(&[b'Q', 255, 255, 255, 255], FrameError::TooLong)]
+fn client_message_with_an_invalid_length_is_rejected(#[case] bytes: &[u8], #[case] expected: FrameError) {
     assert_eq!(read_client_message(&mut buffer_with(bytes)), Err(expected));
 }
 
 #[test]
-fn longest_client_message_fits_its_buffer() {
+fn longest_client_message_fits_the_buffer() {
     let bytes = wire_message(ClientMessageKind::Query, &vec![b'x'; MAX_CLIENT_BODY]);
     assert_eq!(bytes.len(), MAX_BUFFER_SIZE);
     let message = read_client_message(&mut buffer_with(&bytes)).unwrap().unwrap();
@@ -86,7 +86,7 @@
 #[case::cancel_key(BackendMessageKind::BackendKeyData, &[7; 8])]
 #[case::longest_error(BackendMessageKind::ErrorResponse, &[0; MAX_TEXT_BODY])]
 #[case::notice(BackendMessageKind::NoticeResponse, b"SNOTICE\0\0")]
-fn well_formed_backend_message_is_taken(#[case] kind: BackendMessageKind, #[case] body: &[u8]) {
+fn well_formed_backend_message_is_consumed(#[case] kind: BackendMessageKind, #[case] body: &[u8]) {
     let mut buffer = buffer_with(&wire_message(kind, body));
     assert_eq!(read_backend_message(&mut buffer), Ok(Some(Message { kind, body: body.to_vec() })));
     assert!(buffer.is_empty());
@@ -94,23 +94,23 @@
 
 #[rstest]
 #[case::row_without_columns(BackendMessageKind::DataRow, b"\0\0")]
-#[case::row_of_two_columns(BackendMessageKind::DataRow, &[0, 2, 0, 0, 0, 0, 0, 0, 0, 0])]
+#[case::row_with_two_columns(BackendMessageKind::DataRow, &[0, 2, 0, 0, 0, 0, 0, 0, 0, 0])]
 #[case::row_with_null(BackendMessageKind::DataRow, &[0, 1, 255, 255, 255, 255])]
-#[case::value_shorter_than_its_row(BackendMessageKind::DataRow, &row(2, b"abc"))]
-#[case::value_longer_than_its_row(BackendMessageKind::DataRow, &row(4, b"abc"))]
+#[case::value_shorter_than_the_row(BackendMessageKind::DataRow, &row(2, b"abc"))]
+#[case::value_longer_than_the_row(BackendMessageKind::DataRow, &row(4, b"abc"))]
 #[case::description_of_two_columns(BackendMessageKind::RowDescription, &description(2, b"value\0", 18))]
 #[case::description_without_name(BackendMessageKind::RowDescription, &description(1, b"", 18))]
 #[case::description_with_two_names(BackendMessageKind::RowDescription, &description(1, b"a\0b\0", 18))]
-#[case::description_without_numbers(BackendMessageKind::RowDescription, &description(1, b"v\0", 3))]
+#[case::description_without_attributes(BackendMessageKind::RowDescription, &description(1, b"v\0", 3))]
 #[case::empty_description(BackendMessageKind::RowDescription, b"")]
-#[case::tag_without_end(BackendMessageKind::CommandComplete, b"SELECT 1")]
+#[case::tag_without_terminator(BackendMessageKind::CommandComplete, b"SELECT 1")]
 #[case::tag_with_control_character(BackendMessageKind::CommandComplete, b"SELECT\x1b1\0")]
 #[case::parameter_without_value(BackendMessageKind::ParameterStatus, b"name\0")]
-#[case::parameter_without_end(BackendMessageKind::ParameterStatus, b"name\0value")]
+#[case::parameter_without_terminator(BackendMessageKind::ParameterStatus, b"name\0value")]
 #[case::parameter_with_two_values(BackendMessageKind::ParameterStatus, b"name\0value\0more\0")]
 #[case::parameter_not_utf8(BackendMessageKind::ParameterStatus, b"name\0\xff\0")]
 #[case::in_transaction(BackendMessageKind::ReadyForQuery, b"T")]
-#[case::ready_without_state(BackendMessageKind::ReadyForQuery, b"")]
+#[case::ready_without_status(BackendMessageKind::ReadyForQuery, b"")]
 fn malformed_backend_message_is_rejected(#[case] kind: BackendMessageKind, #[case] body: &[u8]) {
     let mut buffer = buffer_with(&wire_message(kind, body));
     assert_eq!(read_backend_message(&mut buffer), Err(FrameError::Malformed));
@@ -118,9 +118,9 @@
 
 #[rstest]
 #[case::unknown_kind(b"x", FrameError::Malformed)]
-#[case::kind_of_a_client(b"Q", FrameError::Malformed)]
-#[case::answer_to_an_empty_query(b"I", FrameError::Malformed)]
-#[case::length_without_itself(&[BackendMessageKind::ReadyForQuery.into(), 0, 0, 0, 3], FrameError::Malformed)]
+#[case::client_message_kind(b"Q", FrameError::Malformed)]
+#[case::empty_query_response(b"I", FrameError::Malformed)]
+#[case::length_below_minimum(&[BackendMessageKind::ReadyForQuery.into(), 0, 0, 0, 3], FrameError::Malformed)]
 #[case::long_value(&header(BackendMessageKind::DataRow, MAX_VALUE + 7), FrameError::TooLong)]
 #[case::long_error(&header(BackendMessageKind::ErrorResponse, MAX_TEXT_BODY + 1), FrameError::TooLong)]
 #[case::long_tag(&header(BackendMessageKind::CommandComplete, 1025), FrameError::TooLong)]
@@ -128,7 +128,7 @@
 #[case::long_authentication(&header(BackendMessageKind::Authentication, 257), FrameError::TooLong)]
 #[case::long_ready(&header(BackendMessageKind::ReadyForQuery, 2), FrameError::TooLong)]
 #[case::wrong_value_length(&row_start(100, 93), FrameError::Malformed)]
-fn bad_backend_message_is_rejected_before_it_is_complete(
+fn invalid_backend_message_is_rejected_before_it_is_complete(
     #[case] received: &[u8],
     #[case] expected: FrameError,
 ) {
@@ -140,7 +140,7 @@
 #[case::kind(&[BackendMessageKind::DataRow.into()])]
 #[case::header(&header(BackendMessageKind::DataRow, 100))]
 #[case::start_of_a_row(&row_start(100, 94))]
-fn incomplete_backend_message_is_awaited(#[case] received: &[u8]) {
+fn incomplete_backend_message_stays_in_the_buffer(#[case] received: &[u8]) {
     let mut buffer = buffer_with(received);
     assert_eq!(read_backend_message(&mut buffer), Ok(None));
     assert_eq!(buffer.len(), received.len());
--- a/src/net/postgres/tests/mod.rs
+++ b/src/net/postgres/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the parsing and writing of PostgreSQL messages.
+//! Tests of parsing and encoding PostgreSQL messages.
 
 mod backend_messages;
 mod error_response;
@@ -13,7 +13,7 @@
 use super::*;
 use crate::net::buffer::{MemoryBudget, RingBuffer, MAX_BUFFER_SIZE};
 
-/// Seeds the random inputs, so that every run has the same.
+/// Seeds the random inputs, so that every run uses the same ones.
 const SEED: u64 = 20_240_607;
 
 fn buffer_with(bytes: &[u8]) -> RingBuffer {
@@ -22,7 +22,7 @@
     buffer
 }
 
-/// A message as it is on the wire.
+/// Encodes a message as it is sent on the wire.
 fn wire_message(kind: impl Into<u8>, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     write_message(&mut out, kind, |out| out.extend(body));
--- a/src/net/postgres/tests/query.rs
+++ b/src/net/postgres/tests/query.rs
@@ -1,4 +1,4 @@
-//! Tests of Query messages and of the comment of a client's query.
+//! Tests of Query messages and of the leading comment of a client's query.
 
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn optional_fields_are_taken() {
+fn optional_fields_are_parsed() {
     let query =
         parse_valid("/*id=a,c=w,t=shop,cluster=0,d=1,k=key,r=1,after=1700000000500,x=y*/ SELECT 'user 7'");
     assert_eq!(query.tenant, "shop");
@@ -73,7 +73,7 @@
 #[case::zero("0", None)]
 #[case::one("1", Some(0.001))]
 #[case::fifteen_digits("999999999999999", Some(999_999_999_999.999))]
-fn session_token_is_in_milliseconds(#[case] value: &str, #[case] expected: Option<f64>) {
+fn session_token_is_parsed_as_milliseconds(#[case] value: &str, #[case] expected: Option<f64>) {
     let query = parse_valid(&format!("/*id=a,c=r,cluster=2,d=5,after={value}*/ SELECT 1"));
     assert_eq!(query.session_token, expected.map(ClusterInstant::from_secs));
 }
@@ -93,7 +93,7 @@
 #[case::one_quote("SELECT 'a", None)]
 #[case::empty("SELECT ''", Some(""))]
 #[case::first_of_two("SELECT 'a', 'b'", Some("a"))]
-fn session_is_the_first_quoted_string(#[case] statement: &str, #[case] expected: Option<&str>) {
+fn session_key_is_the_first_quoted_string(#[case] statement: &str, #[case] expected: Option<&str>) {
     let query = parse_valid(&format!("/*id='x',c=r,cluster=2,d=5*/ {statement}"));
     assert_eq!(query.session_key.as_deref(), expected);
 }
@@ -102,7 +102,7 @@
 #[case::empty("")]
 #[case::spaces(" \t\r\n")]
 #[case::semicolons(" ; ;")]
-fn query_without_statement_is_nothing(#[case] sql: &str) {
+fn query_without_statement_is_empty(#[case] sql: &str) {
     assert!(matches!(parse(sql), Ok(ParsedQuery::Empty)));
 }
 
@@ -112,18 +112,18 @@
 #[case::two_zeros(b"SELECT 1\0\0")]
 #[case::zero_inside(b"SELECT\x001\0")]
 #[case::not_utf8(b"SELECT \xff\0")]
-fn body_that_is_not_one_string_is_rejected(#[case] body: &[u8]) {
+fn body_that_is_not_a_single_string_is_rejected(#[case] body: &[u8]) {
     assert_eq!(parse_query(body).unwrap_err(), QueryError::InvalidText);
 }
 
 #[rstest]
-#[case::no_comment("SELECT 1", QueryError::NoComment)]
-#[case::comment_after_the_statement("SELECT 1 /*id=a,c=r,cluster=2,d=5*/", QueryError::NoComment)]
-#[case::no_end("/*id=a,c=r,cluster=2,d=5 SELECT 1", QueryError::UnterminatedComment)]
+#[case::no_comment("SELECT 1", QueryError::MissingComment)]
+#[case::comment_after_the_statement("SELECT 1 /*id=a,c=r,cluster=2,d=5*/", QueryError::MissingComment)]
+#[case::unterminated_comment("/*id=a,c=r,cluster=2,d=5 SELECT 1", QueryError::UnterminatedComment)]
 #[case::end_overlaps_start("/*/id=a,c=r,cluster=2,d=5*/ SELECT 1", QueryError::UnterminatedComment)]
-#[case::no_statement("/*id=a,c=r,cluster=2,d=5*/ ;", QueryError::NoStatement)]
-#[case::empty_comment("/**/ SELECT 1", CommentError::NotNameAndValue)]
-#[case::comma_at_the_end("/*id=a,c=r,cluster=2,d=5,*/ SELECT 1", CommentError::NotNameAndValue)]
+#[case::no_statement("/*id=a,c=r,cluster=2,d=5*/ ;", QueryError::MissingStatement)]
+#[case::empty_comment("/**/ SELECT 1", CommentError::MalformedPair)]
+#[case::comma_at_the_end("/*id=a,c=r,cluster=2,d=5,*/ SELECT 1", CommentError::MalformedPair)]
 #[case::empty_value("/*id= ,c=r,cluster=2,d=5*/ SELECT 1", CommentError::EmptyOrRepeatedValue)]
 #[case::repeated("/*id=a,c=r,cluster=2,d=5,id=a*/ SELECT 1", CommentError::EmptyOrRepeatedValue)]
 #[case::empty_client_retry("/*id=a,c=r,cluster=2,d=5,r=*/ SELECT 1", CommentError::EmptyOrRepeatedValue)]
@@ -131,26 +131,26 @@
     "/*id=a,c=r,cluster=2,d=5,r=1,r=1*/ SELECT 1",
     CommentError::EmptyOrRepeatedValue
 )]
-#[case::no_id("/*c=r,cluster=2,d=5*/ SELECT 1", CommentError::NoId)]
-#[case::no_class("/*id=a,cluster=2,d=5*/ SELECT 1", CommentError::NoClass)]
-#[case::no_group("/*id=a,c=r,d=5*/ SELECT 1", CommentError::NoGroup)]
-#[case::negative_group("/*id=a,c=r,cluster=-1,d=5*/ SELECT 1", CommentError::NoGroup)]
-#[case::no_timeout("/*id=a,c=r,cluster=2*/ SELECT 1", CommentError::NoTimeout)]
+#[case::no_id("/*c=r,cluster=2,d=5*/ SELECT 1", CommentError::MissingId)]
+#[case::no_class("/*id=a,cluster=2,d=5*/ SELECT 1", CommentError::MissingClass)]
+#[case::no_group("/*id=a,c=r,d=5*/ SELECT 1", CommentError::InvalidGroup)]
+#[case::negative_group("/*id=a,c=r,cluster=-1,d=5*/ SELECT 1", CommentError::InvalidGroup)]
+#[case::no_timeout("/*id=a,c=r,cluster=2*/ SELECT 1", CommentError::MissingTimeout)]
 #[case::zero_timeout("/*id=a,c=r,cluster=2,d=0*/ SELECT 1", CommentError::InvalidTimeout)]
 #[case::signed_timeout("/*id=a,c=r,cluster=2,d=+5*/ SELECT 1", CommentError::InvalidTimeout)]
 #[case::long_timeout("/*id=a,c=r,cluster=2,d=0000000000000005*/ SELECT 1", CommentError::InvalidTimeout)]
 #[case::token("/*id=a,c=r,cluster=2,d=5,after=x*/ SELECT 1", CommentError::InvalidSessionToken)]
-fn bad_query_is_rejected(#[case] sql: &str, #[case] expected: impl Into<QueryError>) {
+fn invalid_query_is_rejected(#[case] sql: &str, #[case] expected: impl Into<QueryError>) {
     assert_eq!(parse(sql).unwrap_err(), expected.into());
 }
 
-/// Of several errors, the first in this order is reported.
+/// If a comment has several errors, the first in this order is reported.
 #[rstest]
-#[case::missing_timeout_first("/*after=x*/ SELECT 1", CommentError::NoTimeout)]
+#[case::missing_timeout_first("/*after=x*/ SELECT 1", CommentError::MissingTimeout)]
 #[case::then_the_token("/*d=0,after=x*/ SELECT 1", CommentError::InvalidSessionToken)]
-#[case::then_the_group("/*d=0,cluster=x*/ SELECT 1", CommentError::NoGroup)]
-#[case::then_the_id("/*d=0,cluster=2*/ SELECT 1", CommentError::NoId)]
-#[case::then_the_class("/*d=0,cluster=2,id=a*/ SELECT 1", CommentError::NoClass)]
+#[case::then_the_group("/*d=0,cluster=x*/ SELECT 1", CommentError::InvalidGroup)]
+#[case::then_the_id("/*d=0,cluster=2*/ SELECT 1", CommentError::MissingId)]
+#[case::then_the_class("/*d=0,cluster=2,id=a*/ SELECT 1", CommentError::MissingClass)]
 #[case::then_the_value_of_the_timeout("/*d=0,cluster=2,id=a,c=r*/ SELECT 1", CommentError::InvalidTimeout)]
 fn errors_are_reported_in_a_fixed_order(#[case] sql: &str, #[case] expected: CommentError) {
     assert_eq!(parse(sql).unwrap_err(), QueryError::Comment(expected));
@@ -158,18 +158,18 @@
 
 #[rstest]
 #[case(QueryError::InvalidText, "a query must be UTF-8 and end with its only zero")]
-#[case(QueryError::NoComment, "no leading comment")]
+#[case(QueryError::MissingComment, "no leading comment")]
 #[case(QueryError::UnterminatedComment, "the comment does not end")]
-#[case(QueryError::NoStatement, "no statement behind the comment")]
-#[case(CommentError::NotNameAndValue, "the comment is not made of names and values")]
+#[case(QueryError::MissingStatement, "no statement behind the comment")]
+#[case(CommentError::MalformedPair, "the comment is not made of names and values")]
 #[case(CommentError::EmptyOrRepeatedValue, "a value of the comment is empty or there twice")]
-#[case(CommentError::NoId, "no id in the comment")]
-#[case(CommentError::NoClass, "no class in the comment")]
-#[case(CommentError::NoGroup, "no group number in the comment")]
-#[case(CommentError::NoTimeout, "no d in the comment")]
+#[case(CommentError::MissingId, "no id in the comment")]
+#[case(CommentError::MissingClass, "no class in the comment")]
+#[case(CommentError::InvalidGroup, "no group number in the comment")]
+#[case(CommentError::MissingTimeout, "no d in the comment")]
 #[case(CommentError::InvalidTimeout, "d is not a number of milliseconds above 0")]
 #[case(CommentError::InvalidSessionToken, "after is not a time in milliseconds")]
-fn error_texts_that_clients_receive_are_fixed(#[case] error: impl Into<QueryError>, #[case] expected: &str) {
+fn error_texts_sent_to_clients_are_stable(#[case] error: impl Into<QueryError>, #[case] expected: &str) {
     assert_eq!(error.into().to_string(), expected);
 }
 
@@ -188,7 +188,7 @@
     }
 }
 
-/// Puts parts of queries together at random, which reaches further into the parser than random bytes.
+/// Concatenates parts of queries at random, which reaches further into the parser than random bytes.
 #[test]
 fn random_parts_never_panic_and_the_timeout_stays_a_number() {
     const PARTS: [&str; 24] = [
--- a/src/net/postgres/tests/sqlstate.rs
+++ b/src/net/postgres/tests/sqlstate.rs
@@ -16,6 +16,6 @@
 #[case::empty("", false)]
 #[case::one_character("4", false)]
 #[case::not_ascii("é", false)]
-fn codes_of_statement_errors_are_known(#[case] code: &str, #[case] expected: bool) {
+fn statement_errors_are_recognized(#[case] code: &str, #[case] expected: bool) {
     assert_eq!(is_statement_error(code), expected);
 }
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -1,4 +1,4 @@
-//! Tests of the startup packets.
+//! Tests of startup packets.
 
 use rstest::rstest;
 
@@ -10,7 +10,7 @@
 const SSL: u32 = 80_877_103;
 const GSS: u32 = 80_877_104;
 
-/// A packet with its length in front.
+/// Encodes a packet: its length followed by `words`.
 fn packet(words: &[u32]) -> Vec<u8> {
     let length = 4 * (words.len() as u32 + 1);
     let words = words.iter().flat_map(|word| word.to_be_bytes());
@@ -36,29 +36,29 @@
 #[case::part_of_a_request_code(&[0, 0, 0, 7], FrameError::Malformed)]
 #[case::too_long(&10_001_u32.to_be_bytes(), FrameError::TooLong)]
 #[case::cancel_without_secret(&packet(&[CANCEL, 7]), FrameError::Malformed)]
-#[case::cancel_with_more(&packet(&[CANCEL, 7, 9, 11]), FrameError::Malformed)]
-fn bad_startup_packet_is_rejected(#[case] bytes: &[u8], #[case] expected: FrameError) {
+#[case::cancel_with_extra_word(&packet(&[CANCEL, 7, 9, 11]), FrameError::Malformed)]
+fn invalid_startup_packet_is_rejected(#[case] bytes: &[u8], #[case] expected: FrameError) {
     assert_eq!(read_startup(&mut buffer_with(bytes)), Err(expected));
 }
 
 #[rstest]
 #[case::part_of_the_length(&[0, 0, 39])]
-#[case::longest_length(&10_000_u32.to_be_bytes())]
+#[case::maximum_length(&10_000_u32.to_be_bytes())]
 #[case::one_byte_missing(&packet(&[CANCEL, 7, 9])[..15])]
-fn incomplete_startup_packet_is_awaited(#[case] bytes: &[u8]) {
+fn incomplete_startup_packet_stays_in_the_buffer(#[case] bytes: &[u8]) {
     let mut buffer = buffer_with(bytes);
     assert_eq!(read_startup(&mut buffer), Ok(None));
     assert_eq!(buffer.len(), bytes.len());
 }
 
 #[test]
-fn startup_message_names_user_and_database() {
+fn startup_message_contains_user_and_database() {
     let expected = b"\0\0\0\x1d\0\x03\0\0user\0me\0database\0db\0\0";
     assert_eq!(startup_message("me", "db"), expected);
 }
 
 #[test]
-fn session_start_has_parameters_and_cancel_key() {
+fn startup_response_contains_parameters_and_cancel_key() {
     let parameters = [
         wire_message(b'S', b"server_version\x0015.0\0"),
         wire_message(b'S', b"server_encoding\0UTF8\0"),
