--- a/src/net/discovery/error.rs
+++ b/src/net/discovery/error.rs
@@ -1,39 +1,39 @@
-//! Why a watch on the endpoint list had to be closed.
+//! The error that ends a watch on the endpoint list.
 
-/// Why a watch on the endpoint list is of no further use.
+/// Why a watch on the endpoint list failed and has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum WatchError {
     /// The connection could not be established.
-    #[error("no connection")]
-    NotConnected,
+    #[error("cannot connect")]
+    ConnectFailed,
     /// Reading from or writing to the connection failed.
-    #[error("the connection broke")]
-    ConnectionBroken,
+    #[error("connection lost")]
+    ConnectionLost,
     /// The response is complete, or its connection was closed.
-    #[error("the watch ended")]
+    #[error("response ended")]
     Ended,
-    /// Nothing was received for too long.
-    #[error("silent")]
-    Silent,
-    /// Part of the response does not fit into the input buffer.
-    #[error("an answer too long")]
+    /// The response did not begin, continue or complete a list in time.
+    #[error("timed out")]
+    TimedOut,
+    /// A part of the response exceeds the capacity of the input buffer.
+    #[error("response exceeds the input buffer")]
     ResponseTooLong,
-    /// The head of the response is not HTTP/1.1, or is too long.
-    #[error("not HTTP")]
-    NotHttp,
-    /// The response has another status than 200, or a length.
-    #[error("the call was turned down")]
+    /// The head of the response is not valid HTTP/1.1, or is too long.
+    #[error("invalid HTTP response head")]
+    InvalidHead,
+    /// The status of the response is not 200, or its body has a length or an unsupported transfer coding.
+    #[error("unexpected HTTP status or body framing")]
     Rejected,
     /// The framing of a chunk is malformed.
-    #[error("not a chunk")]
+    #[error("malformed chunk")]
     MalformedChunk,
-    /// Something other than a list or an empty line was received.
-    #[error("a line that is no list")]
-    NotAList,
-    /// A list exceeds the bound on its length or its depth.
-    #[error("a list too long or nested too deep")]
+    /// The body contains something other than endpoint lists and empty lines.
+    #[error("unexpected data between endpoint lists")]
+    UnexpectedData,
+    /// A list exceeds the maximum length or nesting depth.
+    #[error("endpoint list too long or nested too deeply")]
     ListTooLarge,
-    /// A list, or an entry of it, cannot be decoded.
-    #[error("a list that cannot be read")]
-    UnreadableList,
+    /// A list, or one of its entries, cannot be decoded.
+    #[error("cannot decode endpoint list")]
+    InvalidList,
 }
--- a/src/net/discovery/http_response.rs
+++ b/src/net/discovery/http_response.rs
@@ -3,23 +3,23 @@
 use super::error::WatchError;
 use crate::net::buffer::RingBuffer;
 
-/// Most header fields that the head of a response may have.
+/// Maximum number of header fields in a response.
 const MAX_HEADERS: usize = 32;
-/// Longest head of a response (bytes).
+/// Maximum length of the response head (bytes).
 const MAX_HEAD_LENGTH: usize = 8 * 1024;
-/// Longest line that gives the size of a chunk (bytes).
+/// Maximum length of a chunk size line (bytes).
 const MAX_CHUNK_SIZE_LINE: usize = 256;
 
-/// What the next byte of the response belongs to.
+/// The part of the response that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ParserState {
     /// The status line and the header fields.
     Head,
-    /// The line that gives the size of a chunk.
+    /// The line with the size of a chunk.
     ChunkSize,
     /// The content of a chunk.
     ChunkData {
-        /// How many bytes of the chunk have not been received yet.
+        /// The number of bytes of the chunk that have not been received yet.
         remaining: u64,
     },
     /// The line end after a chunk.
@@ -28,7 +28,7 @@
 
 /// The result of one step of the parser.
 enum Step {
-    /// More bytes have to be received first.
+    /// More input is needed.
     Incomplete,
     /// A part of the framing was consumed.
     Framing,
@@ -36,13 +36,13 @@
     Data(Vec<u8>),
 }
 
-/// How the end of a response's body is found.
+/// How the end of the response body is determined.
 enum BodyFraming {
     Chunked,
     UntilClosed,
 }
 
-/// Separates the body of a response from its framing.
+/// Incremental parser that removes the HTTP framing from a response body.
 pub(super) struct ResponseParser {
     state: ParserState,
 }
@@ -52,12 +52,12 @@
         ResponseParser { state: ParserState::Head }
     }
 
-    /// Whether the head of the response is complete.
+    /// Returns whether the response head has been parsed.
     pub fn has_head(&self) -> bool {
         self.state != ParserState::Head
     }
 
-    /// Consumes input up to the next bytes of the body. Returns `None` when it takes more input to go on.
+    /// Consumes input and returns the next bytes of the body, or `None` if more input is needed.
     pub fn next_data(&mut self, input: &mut RingBuffer) -> Result<Option<Vec<u8>>, WatchError> {
         loop {
             match self.parse_next(input)? {
@@ -91,7 +91,7 @@
                 Ok(Step::Framing)
             }
             Ok(httparse::Status::Partial) if head.len() < MAX_HEAD_LENGTH => Ok(Step::Incomplete),
-            _ => Err(WatchError::NotHttp),
+            _ => Err(WatchError::InvalidHead),
         }
     }
 
@@ -134,7 +134,7 @@
     }
 }
 
-/// Checks that the response is a watch, which ends only when its sender ends it.
+/// Validates that the response is a stream that ends only when the service ends it, and returns its framing.
 fn body_framing(response: &httparse::Response) -> Result<BodyFraming, WatchError> {
     let header = |name: &str| {
         let mut headers = response.headers.iter();
--- a/src/net/discovery/list_splitter.rs
+++ b/src/net/discovery/list_splitter.rs
@@ -1,39 +1,39 @@
-//! Cuts the body of a watch into endpoint lists and heartbeats.
+//! Splits the body of a watch response into endpoint lists and heartbeats.
 
 use super::error::WatchError;
 use crate::json::MAX_DEPTH;
 
-/// Longest text of an endpoint list (bytes). An indented list of 3,200 endpoints takes more than a megabyte.
+/// Maximum length of an endpoint list (bytes). An indented list of 3,200 endpoints exceeds a megabyte.
 pub(super) const MAX_LIST_LENGTH: usize = 2 * 1024 * 1024;
 
-/// A complete message that was received over a watch.
+/// A complete message received over a watch.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Update {
-    /// An empty line: nothing has changed.
+    /// An empty line, which means that nothing has changed.
     Heartbeat,
     /// The JSON text of an endpoint list.
     List(Vec<u8>),
 }
 
-/// Finds the end of each JSON object in a stream of bytes. An object may extend over many lines.
+/// Finds the end of each JSON object in a byte stream. An object may extend over several lines.
 #[derive(Default)]
 pub(super) struct ListSplitter {
-    /// The part of the current list that was received so far.
+    /// The part of the current list that has been received.
     list: Vec<u8>,
-    /// How many arrays and objects are open.
+    /// The number of open arrays and objects.
     depth: usize,
     in_string: bool,
-    /// Whether the next byte follows a backslash in a string.
+    /// Whether the previous byte was an escaping backslash in a string.
     escaped: bool,
 }
 
 impl ListSplitter {
-    /// Whether a list has begun that is not complete yet.
+    /// Returns whether a list has begun that is not complete yet.
     pub fn is_inside_list(&self) -> bool {
         self.depth > 0
     }
 
-    /// Appends to `updates` each message that `bytes` completes.
+    /// Processes `bytes` and appends each message that they complete to `updates`.
     pub fn push(&mut self, bytes: &[u8], updates: &mut Vec<Update>) -> Result<(), WatchError> {
         for byte in bytes {
             if self.is_inside_list() || *byte == b'{' {
@@ -72,7 +72,7 @@
     match byte {
         b'\n' => updates.push(Update::Heartbeat),
         b' ' | b'\t' | b'\r' => {}
-        _ => return Err(WatchError::NotAList),
+        _ => return Err(WatchError::UnexpectedData),
     }
     Ok(())
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! Service discovery: watches the endpoint list over HTTP/1.1.
+//! Service discovery client, which watches the endpoint list over HTTP/1.1.
 //!
-//! - [`watch`]: one request and its timeouts.
+//! - [`watch`]: the connection of one watch, its request and its timeouts.
 //! - [`http_response`]: removes the HTTP framing from the response.
 //! - [`list_splitter`]: splits the body of the response into lists and heartbeats.
-//! - [`error`]: why a watch is closed.
+//! - [`error`]: why a watch failed.
 
 mod error;
 mod http_response;
@@ -24,20 +24,20 @@
 use list_splitter::Update;
 use watch::{WatchConnection, WatchTimeouts};
 
-/// Keeps at most one watch on the endpoint list, and the version of the list that was last received.
+/// Maintains at most one watch on the endpoint list, and the version of the last received list.
 pub(crate) struct DiscoveryClient {
     address: SocketAddr,
     watches: ConnectionTable<WatchConnection>,
     current_watch: Option<ConnectionId>,
     budget: MemoryBudget,
-    /// The version of the list that was last received.
+    /// The version of the last received list.
     list_version: u64,
-    /// The error since which nothing was received. An error is logged when it differs from the one before it.
+    /// The last error, until a list or heartbeat is received. A repeated error is logged only once.
     last_error: Option<WatchError>,
 }
 
 impl DiscoveryClient {
-    /// Has no watch yet; the first one requests the changes since version `list_version` of the list.
+    /// Creates a client without a watch. The first watch requests the changes since version `list_version`.
     pub fn new(address: SocketAddr, list_version: u64, budget: MemoryBudget) -> DiscoveryClient {
         DiscoveryClient {
             address,
@@ -49,25 +49,25 @@
         }
     }
 
-    /// Replaces the watch by one at another address. Does nothing where the address is the same.
+    /// Replaces the watch with one at a new address. Does nothing if the address is unchanged.
     pub fn set_address(&mut self, address: SocketAddr, context: &mut Context) {
         if std::mem::replace(&mut self.address, address) != address {
-            // The versions of one service mean nothing to another: the complete list is needed.
+            // List versions are specific to a service, so the new one must send the complete list.
             self.list_version = 0;
             self.open_watch(context);
         }
     }
 
-    /// Opens a watch, in place of one that may still be open.
+    /// Opens a watch and closes the current one, if any.
     pub fn open_watch(&mut self, context: &mut Context) {
         self.close_current();
         if self.try_open_watch(context).is_err() {
-            self.fail(WatchError::NotConnected, context);
+            self.fail(WatchError::ConnectFailed, context);
         }
     }
 
     fn try_open_watch(&mut self, context: &mut Context) -> Result<(), WatchError> {
-        let stream = TcpStream::connect(self.address).map_err(|_| WatchError::NotConnected)?;
+        let stream = TcpStream::connect(self.address).map_err(|_| WatchError::ConnectFailed)?;
         let now = context.reactor.now();
         let timeouts = match self.last_error {
             None => WatchTimeouts::regular(),
@@ -75,9 +75,9 @@
         };
         let id = self.watches.insert(WatchConnection::new(stream, &self.budget, timeouts, now));
         self.current_watch = Some(id);
-        let watch = self.watches.get_mut(id).ok_or(WatchError::NotConnected)?;
-        watch.request_changes(self.list_version, self.address).map_err(|_| WatchError::NotConnected)?;
-        watch.register(id, &mut context.reactor).map_err(|_| WatchError::NotConnected)?;
+        let watch = self.watches.get_mut(id).ok_or(WatchError::ConnectFailed)?;
+        watch.request_changes(self.list_version, self.address).map_err(|_| WatchError::ConnectFailed)?;
+        watch.register(id, &mut context.reactor).map_err(|_| WatchError::ConnectFailed)?;
         context.reactor.set_timer(watch.deadline(), TimerEvent::Discovery(id));
         Ok(())
     }
@@ -96,13 +96,13 @@
         context.events.push_back(Event::WatchFailed);
     }
 
-    /// Handles a watch whose socket can be read from or written to.
+    /// Handles a watch whose socket is ready for reading or writing.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(watch) = self.watches.get_mut(id) else { return };
         let mut updates = Vec::new();
-        let cycle_result = watch.run_cycle(context.reactor.now(), &mut updates);
+        let io_result = watch.handle_ready(context.reactor.now(), &mut updates);
         let apply_result = updates.into_iter().try_for_each(|update| self.apply(update, id, context));
-        if let Err(error) = apply_result.and(cycle_result) {
+        if let Err(error) = apply_result.and(io_result) {
             self.fail(error, context);
         }
     }
@@ -112,14 +112,14 @@
         match update {
             Update::Heartbeat => self.apply_heartbeat(id, context),
             Update::List(text) => {
-                let list = decode_list(&text).ok_or(WatchError::UnreadableList)?;
+                let list = decode_list(&text).ok_or(WatchError::InvalidList)?;
                 self.apply_list(list, id, context);
             }
         }
         Ok(())
     }
 
-    /// Reports that nothing has changed where this is the first answer to the request.
+    /// Reports an empty delta if this is the first response to the request.
     fn apply_heartbeat(&mut self, id: ConnectionId, context: &mut Context) {
         if !self.mark_answered(id) {
             context.events.push_back(Event::EndpointsUpdated(UpdateKind::Delta, Vec::new()));
@@ -133,27 +133,27 @@
         context.events.push_back(Event::EndpointsUpdated(kind, list.endpoints));
     }
 
-    /// Marks the watch as answered, and returns whether it was already.
+    /// Marks the watch as answered. Returns whether it already was.
     fn mark_answered(&mut self, id: ConnectionId) -> bool {
         self.watches.get_mut(id).is_none_or(WatchConnection::mark_answered)
     }
 
-    /// Closes the watch if nothing was received for too long. The connection may be cut off and look open.
+    /// Closes the watch if its deadline has passed: a connection that was cut off may still look open.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
-        // Bytes that have arrived count, although the event for them was not handled yet.
+        // Received bytes whose readiness event has not been handled yet also extend the deadline.
         self.ready(id, context);
         let Some(watch) = self.watches.get_mut(id) else { return };
         let deadline = watch.deadline();
         if context.reactor.now() >= deadline {
-            self.fail(WatchError::Silent, context);
+            self.fail(WatchError::TimedOut, context);
         } else {
             context.reactor.set_timer(deadline, TimerEvent::Discovery(id));
         }
     }
 }
 
-/// Decodes a list. A list with an entry that cannot be read is rejected: without the entry, a snapshot
-/// would say that the endpoint was removed.
+/// Decodes a list. A list with an invalid entry is rejected as a whole: a snapshot without the entry would
+/// mean that the endpoint was removed.
 fn decode_list(text: &[u8]) -> Option<EndpointList> {
     let text = std::str::from_utf8(text).ok()?;
     let value = json::parse(text).ok()?;
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! One watch on the endpoint list: an HTTP request whose response does not end.
+//! One watch on the endpoint list: an HTTP request with an unbounded streaming response.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,35 +15,35 @@
 
 const PATH: &str = "/catalog/members";
 
-// A change of the endpoint list must have reached the pooler 6 s after it happened, also where a watch has
-// stopped working. These timeouts leave time to open another watch.
+// A change of the endpoint list must reach the pooler within 6 s, even if the current watch has stalled.
+// These timeouts leave time within that limit to open another watch.
 
-/// A watch on which nothing is received for this time is closed. A heartbeat is due every 2 s.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2800);
-/// A watch whose response has not begun after this time is closed. Its head is sent at once.
+/// A watch on which nothing is received for this time is closed. Heartbeats are expected every 2 s.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2800);
+/// A watch without a response head after this time is closed. The service sends the head immediately.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch on which a list has begun and is not complete after this time is closed.
+/// A watch is closed if a list that has begun is not complete after this time.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2800);
-/// The timeouts of a watch that follows a failed one are longer by this factor, since the service may be
+/// Factor by which the timeouts of a watch are extended if it follows a failed one, since the service may be
 /// slow.
 const RETRY_TIMEOUT_FACTOR: f64 = 2.5;
 
-/// How long each part of the response to a watch may take.
+/// Limits on the duration of the parts of a watch response.
 #[derive(Clone, Copy)]
 pub(super) struct WatchTimeouts {
-    /// Until the response begins.
+    /// Until the response head is complete.
     head: Duration,
     /// Until a list that has begun is complete.
     list: Duration,
 }
 
 impl WatchTimeouts {
-    /// The timeouts of a watch that follows no failed one.
+    /// Timeouts of a watch that does not follow a failed one.
     pub fn regular() -> WatchTimeouts {
         WatchTimeouts { head: RESPONSE_HEAD_TIMEOUT, list: LIST_TIMEOUT }
     }
 
-    /// The timeouts of a watch that follows a failed one.
+    /// Timeouts of a watch that follows a failed one.
     pub fn after_failure() -> WatchTimeouts {
         WatchTimeouts {
             head: RESPONSE_HEAD_TIMEOUT.mul_f64(RETRY_TIMEOUT_FACTOR),
@@ -61,15 +61,15 @@
     splitter: ListSplitter,
     /// Whether a list or a heartbeat has been received.
     answered: bool,
-    /// When anything was last received, or the watch was opened.
+    /// When data was last received, or the watch was opened.
     last_received_at: Instant,
-    /// When the list began that is not complete yet.
+    /// When the current, incomplete list began.
     list_started_at: Option<Instant>,
     timeouts: WatchTimeouts,
 }
 
 impl WatchConnection {
-    /// A watch whose request has not been sent yet.
+    /// Creates a watch whose request has not been sent yet.
     pub fn new(
         stream: TcpStream,
         budget: &MemoryBudget,
@@ -95,34 +95,35 @@
         reactor.register(&mut self.stream, EventSource::Discovery(id), interest)
     }
 
-    /// Marks the watch as answered, and returns whether it was already.
+    /// Marks the watch as answered. Returns whether it already was.
     pub fn mark_answered(&mut self) -> bool {
         std::mem::replace(&mut self.answered, true)
     }
 
-    /// Puts the request for all changes since version `list_version` into the output buffer.
+    /// Adds the request for all changes since version `list_version` to the output buffer.
     pub fn request_changes(&mut self, list_version: u64, host: SocketAddr) -> Result<(), CapacityExceeded> {
         let request = format!(
-            "GET {PATH}?follow=1&since={list_version} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n"
+            "GET {PATH}?follow=1&since={list_version} HTTP/1.1\r\nHost: {host}\r\n\
+            Accept: application/json\r\n\r\n"
         );
         self.output.push(request.as_bytes())
     }
 
-    /// When the watch has to be closed if nothing more is received until then.
+    /// Returns when the watch must be closed unless more data is received before.
     pub fn deadline(&self) -> Instant {
         if !self.response.has_head() {
             return self.last_received_at + self.timeouts.head;
         }
-        let silence_deadline = self.last_received_at + SILENCE_TIMEOUT;
+        let idle_deadline = self.last_received_at + IDLE_TIMEOUT;
         match self.list_started_at {
-            Some(started_at) => silence_deadline.min(started_at + self.timeouts.list),
-            None => silence_deadline,
+            Some(started_at) => idle_deadline.min(started_at + self.timeouts.list),
+            None => idle_deadline,
         }
     }
 
-    /// Reads and writes until the socket would block. Appends to `updates` what was received, also where an
-    /// error follows it.
-    pub fn run_cycle(&mut self, now: Instant, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    /// Reads and writes until the socket would block. Appends the received messages to `updates`, including
+    /// those received before an error.
+    pub fn handle_ready(&mut self, now: Instant, updates: &mut Vec<Update>) -> Result<(), WatchError> {
         let received_before = self.input.total_received();
         let result = self.transfer(updates);
         if self.response.has_head() && self.input.total_received() > received_before {
@@ -141,12 +142,12 @@
             return match self.stream.take_error() {
                 // The connection is still being established.
                 Ok(None) => Ok(()),
-                _ => Err(WatchError::NotConnected),
+                _ => Err(WatchError::ConnectFailed),
             };
         }
-        self.output.write_to(&mut self.stream).map_err(|_| WatchError::ConnectionBroken)?;
+        self.output.write_to(&mut self.stream).map_err(|_| WatchError::ConnectionLost)?;
         loop {
-            let status = self.input.read_from(&mut self.stream).map_err(|_| WatchError::ConnectionBroken)?;
+            let status = self.input.read_from(&mut self.stream).map_err(|_| WatchError::ConnectionLost)?;
             let length_before = self.input.len();
             self.parse_input(updates)?;
             match status {
