--- a/src/counters/mod.rs
+++ b/src/counters/mod.rs
@@ -1,4 +1,4 @@
-//! The counters of the pooler. `docs/logs-and-counters.md` describes them for operators.
+//! The counters of the pooler. `docs/logs-and-counters.md` documents them for operators.
 
 use std::fmt;
 
@@ -7,12 +7,12 @@
 /// A counter's name on the printed line, and its value.
 type NamedCount = (&'static str, u64);
 
-/// Stands before the names of the outcomes of health checks.
+/// Name prefix of the counters of health check outcomes.
 const HEALTH_CHECK_PREFIX: &str = "health_check_";
-/// Stands before all other names.
+/// Name prefix of all other counters.
 const NO_PREFIX: &str = "";
 
-/// How often each outcome has occurred.
+/// The number of occurrences of each outcome.
 #[derive(Default)]
 pub(crate) struct OutcomeCounts {
     success: u64,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The counts in the order in which they are printed.
+    /// Returns the counts in the order in which they are printed.
     fn named(&self) -> [NamedCount; 10] {
         [
             ("success", self.success),
@@ -65,55 +65,56 @@
     }
 }
 
-/// What has happened since the start of the process; never decreases. Operators parse the printed line: its
-/// names and their order are an interface. An outcome of health checks is printed only once it has occurred.
+/// Counters since the start of the process; they never decrease. Operators parse the printed line, so its
+/// names and their order are an interface. An outcome of health checks is printed only after it has occurred.
 #[derive(Default)]
 pub(crate) struct Counters {
-    /// Client connections that were accepted.
+    /// Accepted client connections.
     pub clients_accepted: u64,
     /// Valid queries that were passed to the policy.
     pub requests_received: u64,
-    /// Messages and queries of clients that were invalid, or that an endpoint rejected as such.
+    /// Messages and queries from clients that the pooler or an endpoint rejected as invalid.
     pub malformed: u64,
-    /// Clients whose connection was closed because they did not send a first query, complete a message or
-    /// read their answers in time.
+    /// Client connections that were closed because the client did not send its first query, complete a
+    /// message or read its responses in time.
     pub client_timeouts: u64,
-    /// Client connections that were closed because they were idle for too long.
+    /// Client connections that were closed after the idle timeout.
     pub idle_closed: u64,
     /// Queries that were answered with a value.
     pub served: u64,
-    /// Queries that were answered with a rejection: a retry by the client is harmless. Those for lack of
-    /// memory or in a shutdown are counted, but are not in [`requests_received`](Self::requests_received).
+    /// Queries that were answered with a rejection, which clients can safely retry. Rejections for lack of
+    /// memory or in a shutdown are included here, but not in
+    /// [`requests_received`](Self::requests_received).
     pub rejected: u64,
-    /// Queries that were answered with a failure; they may have been executed.
+    /// Queries that were answered with a failure and may have been executed.
     pub failed: u64,
-    /// Clients that stopped waiting for a query in progress: by a disconnect or a cancel request.
+    /// Clients that stopped waiting for a query in progress, by a disconnect or a cancel request.
     pub client_disconnects: u64,
-    /// Of [`client_disconnects`](Self::client_disconnects), those by a cancel request.
+    /// The part of [`client_disconnects`](Self::client_disconnects) that is due to cancel requests.
     pub cancel_requests: u64,
     /// Attempts that were started.
     pub attempts_sent: u64,
     /// Health checks that were started.
     pub health_checks_sent: u64,
-    /// Answers of endpoints that were not valid.
+    /// Invalid responses from endpoints.
     pub malformed_answers: u64,
-    /// Messages of endpoints that followed a complete answer or belonged to no query.
+    /// Messages from endpoints after a complete response, or outside of any query.
     pub unsolicited_messages: u64,
-    /// Load reports that could not be read.
+    /// Load reports that could not be decoded.
     pub unreadable_reports: u64,
-    /// Connections that were opened to endpoints.
+    /// Connections opened to endpoints.
     pub backend_connects: u64,
     /// How attempts ended.
     pub attempt_outcomes: OutcomeCounts,
     /// How health checks ended.
     pub health_check_outcomes: OutcomeCounts,
-    /// Updates of the endpoint list, with the cached list at the start.
+    /// Updates of the endpoint list, including the cached list at startup.
     pub endpoint_updates: u64,
-    /// Times that the watch of the endpoint list failed.
+    /// Failures of the watch on the endpoint list.
     pub watch_failures: u64,
-    /// Times that the configuration was reloaded.
+    /// Successful reloads of the configuration.
     pub reloads: u64,
-    /// Times that the configuration could not be reloaded.
+    /// Failed reloads of the configuration.
     pub reload_failures: u64,
 }
 
@@ -131,7 +132,7 @@
 }
 
 impl Counters {
-    /// The counters of clients and their requests, in the order in which they are printed.
+    /// Returns the counters of clients and their requests, in the order in which they are printed.
     fn client_counts(&self) -> [NamedCount; 10] {
         [
             ("requests_received", self.requests_received),
@@ -147,7 +148,7 @@
         ]
     }
 
-    /// The counters at the end of the line, in the order in which they are printed.
+    /// Returns the counters at the end of the line, in the order in which they are printed.
     fn fault_and_control_counts(&self) -> [NamedCount; 8] {
         [
             ("malformed_answers", self.malformed_answers),
@@ -162,7 +163,7 @@
     }
 }
 
-/// Writes ` name=value` for each count, with `prefix` before each name.
+/// Writes ` <prefix><name>=<value>` for each count.
 fn write_counts(formatter: &mut fmt::Formatter<'_>, prefix: &str, counts: &[NamedCount]) -> fmt::Result {
     counts.iter().try_for_each(|(name, count)| write!(formatter, " {prefix}{name}={count}"))
 }
--- a/src/counters/tests.rs
+++ b/src/counters/tests.rs
@@ -1,4 +1,4 @@
-//! The printed line of the counters.
+//! Tests of the printed counters.
 
 use super::{Counters, OutcomeCounts};
 use crate::interface::Outcome;
@@ -16,11 +16,11 @@
     Outcome::InvalidRequest,
 ];
 
-/// Counts in which the outcome at position `n` has occurred `n + 1` times.
+/// Returns counts in which the outcome at index `n` has occurred `n + 1` times.
 fn distinct_outcome_counts() -> OutcomeCounts {
     let mut counts = OutcomeCounts::default();
-    for (position, outcome) in OUTCOMES.into_iter().enumerate() {
-        for _ in 0..=position {
+    for (index, outcome) in OUTCOMES.into_iter().enumerate() {
+        for _ in 0..=index {
             counts.record(outcome);
         }
     }
@@ -62,15 +62,15 @@
 fn every_counter_is_printed_under_its_name() {
     let expected = "clients_accepted=1 requests_received=2 malformed=3 served=6 rejected=7 failed=8 \
         client_disconnects=9 client_timeouts=4 idle_closed=5 backend_connects=16 attempts_sent=11 success=1 \
-        error=2 overloaded=3 timeout=4 connect_failed=5 connection_reset=6 cancelled=7 not_sent=8 ineligible=9 \
-        invalid_request=10 health_checks_sent=12 health_check_success=2 health_check_timeout=1 \
+        error=2 overloaded=3 timeout=4 connect_failed=5 connection_reset=6 cancelled=7 not_sent=8 \
+        ineligible=9 invalid_request=10 health_checks_sent=12 health_check_success=2 health_check_timeout=1 \
         health_check_invalid_request=1 malformed_answers=13 unsolicited_messages=14 unreadable_reports=15 \
         endpoint_updates=17 watch_failures=18 reloads=19 reload_failures=20 cancel_requests=10";
     assert_eq!(distinct_counters().to_string(), expected);
 }
 
 #[test]
-fn outcomes_of_health_checks_are_printed_only_once_they_occur() {
+fn health_check_outcomes_are_printed_only_after_they_occur() {
     let line = Counters::default().to_string();
     assert!(line.contains(" success=0 ") && line.contains(" health_checks_sent=0 malformed_answers=0 "));
     assert!(!line.contains("health_check_"), "{line}");
