--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,6 @@
-//! The operator's log: one line per event on standard error, written by a thread of its own, so that a slow
-//! reader never stops the program. Lines beyond the capacity of its queue are lost; a later one counts them.
+//! The operator's log: one line per event on standard error. A dedicated thread writes the lines, so that a
+//! slow reader never blocks the program. Lines that exceed the capacity of the queue are lost; a later line
+//! reports their number.
 
 use std::io::{self, Write};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,14 +13,14 @@
 use tracing_subscriber::fmt::time::{FormatTime, SystemTime};
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The capacity of the queue (lines). Together they take less than a megabyte.
+/// Capacity of the queue (lines). A full queue takes less than a megabyte.
 const MAX_QUEUED_LINES: usize = 1000;
 
-/// How long the program waits for the queued lines to be written before it ends.
+/// How long the program waits at exit for the queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Writes the queued lines when it is dropped, for [`FLUSH_TIMEOUT`] at most.
-#[must_use = "lines that are logged later are lost"]
+/// Flushes the queued lines when it is dropped, waiting for at most [`FLUSH_TIMEOUT`].
+#[must_use = "lines logged after the guard is dropped are lost"]
 pub(crate) struct LogGuard {
     worker: Option<WorkerGuard>,
 }
@@ -27,24 +28,26 @@
 impl Drop for LogGuard {
     fn drop(&mut self) {
         let worker = self.worker.take();
-        let (flush_done, flush_result) = mpsc::channel();
-        // If the queue is full, the worker's guard prints that, which may block for ever.
+        let (flush_sender, flush_receiver) = mpsc::channel();
+        // Runs in a thread: dropping the worker guard prints a message if the queue is full, which may block
+        // forever.
         let flush = move || {
             drop(worker);
-            let _ = flush_done.send(());
+            let _ = flush_sender.send(());
         };
         if thread::Builder::new().spawn(flush).is_ok() {
-            let _ = flush_result.recv_timeout(FLUSH_TIMEOUT);
+            let _ = flush_receiver.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-/// Starts to write all log events to standard error: time, level, message and fields, without colour.
+/// Starts logging to standard error. Each line has the time, level, message and fields of an event, without
+/// colour.
 ///
-/// An event that cannot be written is lost: a closed standard error is no reason to stop serving.
+/// Events that cannot be written are lost, so that a closed standard error does not interrupt service.
 pub(crate) fn init() -> LogGuard {
     let (writer, worker) = LogWriter::new(io::stderr(), MAX_QUEUED_LINES);
-    // Fails only where a subscriber is installed already, which then stays.
+    // Fails only if a subscriber is already installed, which then remains in use.
     let _ = tracing_subscriber::fmt()
         .with_writer(writer)
         .with_ansi(false)
@@ -54,13 +57,13 @@
     LogGuard { worker: Some(worker) }
 }
 
-/// Queues lines for the thread that writes them, and counts those that are lost.
+/// Queues lines for the writer thread and counts lost lines.
 #[derive(Clone)]
 struct LogWriter {
     queue: NonBlocking,
-    /// Counts the lost lines.
+    /// The number of lost lines.
     lost: ErrorCounter,
-    /// How many of the lost lines have been reported, or were reports themselves.
+    /// The number of lost lines that have been reported or were reports themselves.
     reported: Arc<AtomicUsize>,
 }
 
@@ -72,15 +75,15 @@
         (LogWriter { queue, lost, reported: Arc::default() }, worker)
     }
 
-    /// Queues a line. Returns whether the queue had capacity for it.
+    /// Queues a line. Returns whether the queue had capacity for the line.
     fn queue_line(&mut self, line: &[u8]) -> bool {
         let lost_before = self.lost.dropped_lines();
-        // Never fails: a line that exceeds the capacity is counted as lost.
+        // Never fails: a line that exceeds the capacity is only counted as lost.
         let _ = self.queue.write_all(line);
         self.lost.dropped_lines() == lost_before
     }
 
-    /// Queues a line with the number of lines that were lost since the last such line.
+    /// Queues a warning with the number of lines lost since the last such warning.
     fn report_lost_lines(&mut self) {
         let lost = self.lost.dropped_lines();
         let unreported = lost - self.reported.load(Ordering::Relaxed);
@@ -88,7 +91,7 @@
             return;
         }
         let is_queued = self.queue_line(lost_lines_warning(unreported).as_bytes());
-        // A report that was lost was counted as one more lost line, which needs no report.
+        // A warning that did not fit was itself counted as a lost line, which must not be reported.
         let newly_reported = if is_queued { unreported } else { 1 };
         self.reported.fetch_add(newly_reported, Ordering::Relaxed);
     }
@@ -114,10 +117,10 @@
     }
 }
 
-/// A line in the form of the other events, with the number of lost lines.
+/// Formats a warning with the number of lost lines, in the format of other events.
 fn lost_lines_warning(count: usize) -> String {
     let mut line = String::new();
-    // The time is left out if it cannot be formatted.
+    // The time is omitted if it cannot be formatted.
     let _ = SystemTime.format_time(&mut format::Writer::new(&mut line));
     line + &format!("  WARN log lines lost count={count}\n")
 }
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -4,9 +4,9 @@
 
 const QUEUE_LENGTH: usize = 4;
 
-/// A reader of the log that takes one line for each permit.
+/// A log output that writes one line for each permit.
 struct SlowOutput {
-    /// Gets a message before each line is taken.
+    /// Receives a message before each line is written.
     offered: Sender<()>,
     permits: Receiver<()>,
     lines: Sender<String>,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A log with such a reader, and the other ends of its channels.
+/// A log that writes to a [`SlowOutput`], and the other ends of its channels.
 struct SlowLog {
     writer: LogWriter,
     worker: WorkerGuard,
@@ -49,7 +49,7 @@
         self.writer.write_all(format!("{line}\n").as_bytes()).unwrap();
     }
 
-    /// Fills the queue, once the reader has been offered the first line.
+    /// Fills the queue after the output has been offered the first line, which is then no longer queued.
     fn fill(&mut self) {
         self.write("first");
         self.offered.recv().unwrap();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn lines_that_exceed_the_queue_are_lost_and_counted_once_it_accepts_lines_again() {
+fn lines_that_exceed_the_queue_are_lost_and_reported_when_it_accepts_lines_again() {
     let mut log = SlowLog::new();
     log.fill();
     (0..15).for_each(|_| log.write("lost"));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn queued_lines_are_written_before_the_program_ends() {
+fn queued_lines_are_written_before_exit() {
     let mut log = SlowLog::new();
     log.permit(2);
     log.write("first");
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn the_program_ends_although_its_log_is_not_read() {
+fn exit_is_not_blocked_by_an_unread_log() {
     let mut log = SlowLog::new();
     log.fill();
     log.write("lost");
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log of the pooler's program: its form, and that its loss does not stop the program.
+//! Tests of the log on standard error: its format, and that an unavailable reader does not stop the pooler.
 #![allow(clippy::unwrap_used, reason = "a panic is how a test fails, also in its helper functions")]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -7,18 +7,18 @@
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-/// Port 1 is reserved: nothing listens there.
+/// An address without a discovery service: port 1 is reserved, so nothing listens there.
 const NO_DISCOVERY: &str = "127.0.0.1:1";
 
-struct Program {
+struct Pooler {
     child: Child,
     log: Option<BufReader<ChildStderr>>,
     config: PathBuf,
 }
 
-impl Program {
+impl Pooler {
     /// Starts the program without a discovery service.
-    fn start(name: &str) -> Program {
+    fn start(name: &str) -> Pooler {
         let text = format!(
             r#"{{"name":"{name}","listen":"127.0.0.1:0","discovery":"{NO_DISCOVERY}","seed":"7f","settings":{{
             "classes":[{{"name":"a","aim":1,"deadline":2}}],"specifics":{{"consistency":["any"]}},
@@ -33,17 +33,17 @@
             .spawn()
             .unwrap();
         let log = child.stderr.take().map(BufReader::new);
-        Program { child, log, config }
+        Pooler { child, log, config }
     }
 
-    /// The first line of the log. The program handles signals by the time that it is written.
+    /// Returns the first line of the log. The program handles signals before it writes this line.
     fn first_line(&mut self) -> String {
         let mut line = String::new();
         self.log.as_mut().unwrap().read_line(&mut line).unwrap();
         line.trim_end().to_string()
     }
 
-    /// The other lines, up to the end of the program.
+    /// Returns all further lines, up to the end of the pooler.
     fn remaining_lines(&mut self) -> Vec<String> {
         self.log.take().unwrap().lines().map(Result::unwrap).collect()
     }
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Program {
+impl Drop for Pooler {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -70,8 +70,8 @@
     }
 }
 
-/// Asserts that a line begins with a time in UTC and a level, and holds no colour.
-fn assert_form(line: &str) {
+/// Asserts that a line begins with a UTC time and a level, and contains no colour codes.
+fn assert_format(line: &str) {
     let mut words = line.split_whitespace();
     let (time, level) = (words.next().unwrap(), words.next().unwrap());
     assert!(time.contains('T') && time.ends_with('Z'), "{line}");
@@ -81,14 +81,14 @@
 
 #[test]
 fn each_event_is_one_line_with_time_level_message_and_fields() {
-    let mut program = Program::start("log-form");
-    let first = program.first_line();
-    program.signal("USR1");
-    program.signal("TERM");
-    let lines = program.remaining_lines();
-    assert!(program.wait().success());
-    assert_form(&first);
-    lines.iter().for_each(|line| assert_form(line));
+    let mut pooler = Pooler::start("log-form");
+    let first = pooler.first_line();
+    pooler.signal("USR1");
+    pooler.signal("TERM");
+    let lines = pooler.remaining_lines();
+    assert!(pooler.wait().success());
+    assert_format(&first);
+    lines.iter().for_each(|line| assert_format(line));
     assert!(first.contains("INFO listening name=log-form address=127.0.0.1:"), "{first}");
     assert!(first.ends_with(" max_clients=504"), "{first}");
     for text in [
@@ -103,32 +103,33 @@
 
 #[test]
 fn a_closed_standard_error_does_not_stop_the_program() {
-    let mut program = Program::start("log-closed");
-    program.first_line();
-    program.close_log();
+    let mut pooler = Pooler::start("log-closed");
+    pooler.first_line();
+    pooler.close_log();
     for _ in 0..3 {
-        program.signal("USR1");
-        program.signal("HUP");
+        pooler.signal("USR1");
+        pooler.signal("HUP");
     }
-    program.signal("TERM");
-    assert!(program.wait().success());
+    pooler.signal("TERM");
+    assert!(pooler.wait().success());
 }
 
-/// A pipe holds 64 KiB, which is about a hundred lines with counters.
+/// Enough signals to fill the pipe: it holds 64 KiB, which is about a hundred lines of counters.
 const SIGNALS_THAT_FILL_THE_PIPE: u32 = 3000;
-/// The startup message of a client: its length, the version, the user and the end of the parameters.
+/// The startup message of a client: length, protocol version, user and terminator of the parameters.
 const STARTUP: &[u8] = b"\0\0\0\x12\0\x03\0\0user\0app\0\0";
-/// Far longer than a response takes, so only a failed test waits so long.
+/// Far longer than a response takes; only a failing test waits this long.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The program once waited for the reader of its log, and served no client meanwhile.
+/// Guards against a log writer that blocks on a full pipe, in which case no client is served.
 #[test]
 fn a_full_standard_error_does_not_stop_the_program() {
-    let mut program = Program::start("log-full");
-    let first = program.first_line();
+    let mut pooler = Pooler::start("log-full");
+    let first = pooler.first_line();
     let address = first.split("address=").nth(1).and_then(|rest| rest.split(' ').next()).unwrap();
-    let pid = program.child.id();
-    // A program that is started between two signals leaves time to handle the first.
+    let pid = pooler.child.id();
+    // Starting a program between two signals gives the pooler time to handle the first: signals that are
+    // pending at the same time are merged.
     let script =
         format!("for i in $(seq {SIGNALS_THAT_FILL_THE_PIPE}); do kill -USR1 {pid}; /bin/true; done");
     assert!(Command::new("sh").args(["-c", &script]).status().unwrap().success());
@@ -136,10 +137,10 @@
     client.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
     client.write_all(STARTUP).unwrap();
     client.read_exact(&mut [0]).expect("the client is served");
-    program.signal("TERM");
+    pooler.signal("TERM");
     drop(client);
-    // Nothing is lost that was logged since the pipe has been read.
-    let lines = program.remaining_lines();
+    // No line is lost that was logged after the pipe was read again.
+    let lines = pooler.remaining_lines();
     assert!(lines.last().unwrap().contains("INFO shut down: clients_accepted=1 "), "{:?}", lines.last());
-    assert!(program.wait().success());
+    assert!(pooler.wait().success());
 }
