--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its subcommands, and how their failures are reported.
+//! The command line interface: subcommands and error reporting.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,13 +12,13 @@
 /// The name of the program in its output.
 const PROGRAM_NAME: &str = env!("CARGO_PKG_NAME");
 
-/// The exit code of a command that failed.
+/// The exit code of a failed command.
 const EXIT_FAILURE: u8 = 2;
 
-/// The environment variable that names the configuration file where the command line does not.
+/// The environment variable with the path of the configuration file, used if the command line has none.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 
-/// pg-pooler: a pooler that sends each read and write of a replicated database where it belongs.
+/// pg-pooler: a PostgreSQL connection pooler that routes reads and writes to replicated databases.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -33,11 +33,11 @@
     CheckConfig(CheckConfig),
 }
 
-/// Serve until SIGTERM; SIGHUP rereads the configuration, SIGUSR1 prints the counters.
+/// Serve clients until SIGTERM; SIGHUP reloads the configuration, SIGUSR1 logs the counters.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration file; the variable LB_CONFIG where this is not given
+    /// path of the configuration file; defaults to the environment variable LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
 }
@@ -47,30 +47,30 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Read the configuration, say whether it can be used, and stop.
+/// Validate the configuration file and print a summary.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check-config")]
 struct CheckConfig {
-    /// the configuration file; the variable LB_CONFIG where this is not given
+    /// path of the configuration file; defaults to the environment variable LB_CONFIG
     #[argh(option)]
     config: Option<PathBuf>,
 }
 
-/// Why a command failed.
+/// The error of a failed command.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     /// Neither the command line nor the environment names a configuration file.
-    #[error("no configuration: give --config or set {CONFIG_VARIABLE}")]
+    #[error("no configuration file: use --config or set {CONFIG_VARIABLE}")]
     NoConfiguration,
-    /// The configuration file cannot be used.
+    /// The configuration file cannot be read or is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The pooler could not start or had to stop.
+    /// The pooler could not start, or stopped because of an error.
     #[error("cannot serve: {0}")]
     Serve(#[from] ServeError),
 }
 
-/// Runs the program as its command line says. A failed command prints its error on standard error.
+/// Runs the command given on the command line. Prints the error of a failed command to standard error.
 pub fn run() -> ExitCode {
     let Args { command } = argh::from_env();
     let result = match command {
@@ -90,8 +90,8 @@
     }
 }
 
-/// Serves clients until a graceful shutdown is complete. A file that cannot be read for a moment is read
-/// again.
+/// Serves clients until a graceful shutdown is complete. Retries reading the configuration file after a
+/// transient error.
 fn serve(path: Option<PathBuf>) -> Result<(), CommandError> {
     let path = config_path(path)?;
     let config = retry(|| Config::load(&path), ConfigError::is_transient)?;
@@ -104,11 +104,11 @@
     println!("{PROGRAM_NAME} {}", env!("CARGO_PKG_VERSION"));
 }
 
-/// Reads the configuration and prints its main values.
+/// Validates the configuration and prints a summary of it.
 fn check_config(path: Option<PathBuf>) -> Result<(), CommandError> {
     let config = Config::load(&config_path(path)?)?;
     println!(
-        "usable: {} listens on {} for {} classes of requests, discovery at {}",
+        "configuration is valid: {} listens on {} for {} classes of requests, discovery at {}",
         config.name,
         config.listen,
         config.classes.len(),
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// The configuration file that the command line names, or else the environment.
+/// Returns the path of the configuration file from the command line, or else from the environment.
 fn config_path(path: Option<PathBuf>) -> Result<PathBuf, CommandError> {
     path.or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from)).ok_or(CommandError::NoConfiguration)
 }
