--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example configuration that the README starts a newcomer with.
+//! Tests of the example configuration, which the README uses for the first run.
 #![allow(clippy::unwrap_used, reason = "a panic is how a test fails, also in its helper functions")]
 
 use std::io::{BufRead, BufReader};
@@ -8,19 +8,19 @@
 use std::time::{Duration, Instant};
 
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/examples/config.json");
-/// Far longer than the program takes: only a failed test waits so long.
+/// Far longer than the program takes; only a failing test waits this long.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The program on an edited copy of the example; both are removed at the end of the test.
-struct Server {
+/// A running pooler with an edited copy of the example. Stops the pooler and removes the copy when dropped.
+struct Pooler {
     child: Child,
     config: PathBuf,
     log: Receiver<String>,
 }
 
-impl Server {
-    /// Starts the program on any free port, with no discovery service.
-    fn start() -> Server {
+impl Pooler {
+    /// Starts the pooler on a free port, without a discovery service.
+    fn start() -> Pooler {
         let mut text = std::fs::read_to_string(EXAMPLE).unwrap();
         for (from, to) in [("127.0.0.1:6432", "127.0.0.1:0"), ("127.0.0.1:8500", "127.0.0.1:1")] {
             assert!(text.contains(from), "{from} is not in the example");
@@ -33,26 +33,27 @@
             .arg(&config)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
+            .expect("the pooler starts");
         let (sender, log) = channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
         std::thread::spawn(move || {
             stderr.lines().map_while(Result::ok).try_for_each(|line| sender.send(line))
         });
-        Server { child, config, log }
+        Pooler { child, config, log }
     }
 
-    /// Waits for a line of the log that contains `text`.
+    /// Waits for a log line that contains `text`.
     fn wait_for_log(&self, text: &str) {
         loop {
-            let line = self.log.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("'{text}' is not logged"));
+            let line =
+                self.log.recv_timeout(TIMEOUT).unwrap_or_else(|_| panic!("'{text}' was not logged in time"));
             if line.contains(text) {
                 return;
             }
         }
     }
 
-    /// Sends SIGTERM and waits for the end; whether the program reports success.
+    /// Sends SIGTERM and waits for the pooler to exit. Returns whether it reports success.
     fn terminate(&mut self) -> bool {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", "TERM", &pid]).status().unwrap().success());
@@ -61,13 +62,13 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
-            assert!(start.elapsed() < TIMEOUT, "the program does not end on SIGTERM");
+            assert!(start.elapsed() < TIMEOUT, "the pooler did not exit on SIGTERM");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 }
 
-impl Drop for Server {
+impl Drop for Pooler {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -92,11 +93,11 @@
     }
 }
 
-/// A cached list that cannot be read is ignored by `check-config`, so only a running pooler shows that the
-/// example's list is sound.
+/// `check-config` ignores an invalid cached endpoint list, so only a running pooler shows that the list in
+/// the example is valid.
 #[test]
-fn serve_reads_the_hosts_of_the_example_and_ends_on_sigterm() {
-    let mut server = Server::start();
-    server.wait_for_log("group 1: primary is now db-1");
-    assert!(server.terminate());
+fn serve_reads_the_cached_list_of_the_example_and_exits_on_sigterm() {
+    let mut pooler = Pooler::start();
+    pooler.wait_for_log("group 1: primary is now db-1");
+    assert!(pooler.terminate());
 }
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -1,21 +1,22 @@
-//! The engineers who run the pooler read all of its decisions: their width is limited, and every file is
-//! named.
+//! Checks of the source files of the policy. The engineers who run the pooler read all of its decisions, so
+//! the line width is limited and the deploy file lists every file.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Longest line (characters).
+/// Maximum line width (characters).
 const MAX_WIDTH: usize = 110;
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The files that `policy` in the deploy file names.
+/// Returns the files listed under `policy` in the deploy file.
 fn policy_files() -> Vec<PathBuf> {
-    let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file is there");
-    let (_, rest) = deploy.split_once("policy = [").expect("the deploy file names the policy");
-    let (names, _) = rest.split_once(']').expect("the list ends");
+    let deploy =
+        fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file can be read");
+    let (_, rest) = deploy.split_once("policy = [").expect("the deploy file lists the policy files");
+    let (names, _) = rest.split_once(']').expect("the list is terminated");
     names
         .split(',')
         .map(|name| name.trim().trim_matches('"'))
@@ -25,34 +26,39 @@
 }
 
 #[test]
-fn the_policy_stays_within_its_width() {
+fn policy_lines_do_not_exceed_the_maximum_width() {
     for file in policy_files() {
-        let text = fs::read_to_string(root().join(&file)).expect("each file of the policy is there");
+        let text = fs::read_to_string(root().join(&file)).expect("each policy file can be read");
         for (number, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= MAX_WIDTH, "{}:{} is too wide", file.display(), number + 1);
+            assert!(
+                line.chars().count() <= MAX_WIDTH,
+                "{}:{} exceeds the maximum width",
+                file.display(),
+                number + 1
+            );
         }
     }
 }
 
-/// Every file of decisions below a folder, as its path from the root. Test files decide nothing.
-fn decision_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(root().join(folder)).expect("the folder is there");
-    let paths = entries.map(|entry| folder.join(entry.expect("it can be listed").file_name()));
+/// Returns the paths of all source files below a directory, relative to the root and without test files.
+fn source_files(directory: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(root().join(directory)).expect("the directory can be read");
+    let paths = entries.map(|entry| directory.join(entry.expect("the entry can be read").file_name()));
     let files =
-        paths.flat_map(|path| if root().join(&path).is_dir() { decision_files(&path) } else { vec![path] });
+        paths.flat_map(|path| if root().join(&path).is_dir() { source_files(&path) } else { vec![path] });
     files.filter(|file| !file.ends_with("tests.rs")).collect()
 }
 
 #[test]
-fn the_deploy_file_names_every_file_of_the_policy() {
-    let named = policy_files();
-    for file in decision_files(Path::new("src/policy")) {
-        assert!(named.contains(&file), "{} is not named", file.display());
+fn the_deploy_file_lists_every_policy_file() {
+    let listed = policy_files();
+    for file in source_files(Path::new("src/policy")) {
+        assert!(listed.contains(&file), "{} is not listed", file.display());
     }
 }
 
 #[test]
-fn the_policy_says_where_its_interface_is() {
-    let text = fs::read_to_string(root().join("src/policy/mod.rs")).expect("the policy is there");
+fn the_policy_documentation_refers_to_its_interface() {
+    let text = fs::read_to_string(root().join("src/policy/mod.rs")).expect("the policy module can be read");
     assert!(text.lines().take(3).any(|line| line.contains("src/interface")));
 }
