--- a/src/adapter/instances.rs
+++ b/src/adapter/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of the policy that this process runs. Nothing is decided in the adapter.
+//! The policy instances that this process runs. The adapter itself makes no policy decisions.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,42 +12,42 @@
     NewInstance, WireError,
 };
 
-/// Whether the simulator waits for what was written.
+/// Whether a batch is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchStatus {
     /// More lines of the batch follow.
-    Open,
-    /// The batch is complete and its reply is written.
+    Incomplete,
+    /// The batch is complete and its reply has been written. The simulator waits for the reply.
     Replied,
 }
 
-/// An instance of the policy.
+/// A policy instance.
 struct Instance {
     policy: Policy,
     /// The time to which the log positions in its messages are relative.
     base_time: BaseTime,
 }
 
-/// Runs the instances, and collects their actions until the batch is complete.
+/// Runs the instances and collects their actions until the batch is complete.
 #[derive(Default)]
 pub struct Instances {
-    /// The time of the last turn.
+    /// The last time that was set, which applies to all following messages.
     now: LocalInstant,
-    /// The endpoint lists to which updates refer.
+    /// The inventories of endpoints that list updates refer to.
     inventories: BTreeMap<InventoryId, Vec<Endpoint>>,
     instances: BTreeMap<InstanceId, Instance>,
-    /// The actions of the batch so far, in the order in which they were taken.
+    /// The actions in the current batch, in the order in which they were taken.
     pending_actions: Vec<(InstanceId, Action)>,
 }
 
 impl Instances {
-    /// Handles one line. Writes the reply where the line ends a batch.
+    /// Handles one line. Writes the reply if the line ends a batch.
     ///
-    /// Fails where the line is malformed, refers to an unknown inventory or has settings out of their
-    /// range, and where the reply cannot be written. The instances cannot go on then.
+    /// Fails if the line is malformed, refers to an unknown inventory or contains settings that are out of
+    /// range, or if the reply cannot be written. The instances must not be used after an error.
     pub fn handle_line(&mut self, line: &[u8], output: &mut impl Write) -> Result<BatchStatus, WireError> {
         match decode_line(line)? {
-            Message::Turn { now } => self.now = now,
+            Message::SetTime { now } => self.now = now,
             Message::EndOfBatch => {
                 write_reply(self.pending_actions.drain(..), output).map_err(WireError::Write)?;
                 return Ok(BatchStatus::Replied);
@@ -56,11 +56,11 @@
                 self.inventories.insert(id, endpoints);
             }
             Message::OpenInstance(new_instance) => self.open_instance(*new_instance)?,
-            Message::KillInstance { instance } => self.kill_instance(instance),
+            Message::CloseInstance { instance } => self.close_instance(instance),
             Message::Ignored => {}
             Message::Instance(line) => self.handle_instance_line(&line)?,
         }
-        Ok(BatchStatus::Open)
+        Ok(BatchStatus::Incomplete)
     }
 
     fn open_instance(&mut self, new_instance: NewInstance) -> Result<(), WireError> {
@@ -70,13 +70,13 @@
         Ok(())
     }
 
-    /// Removes an instance, and those of its actions that were not written yet.
-    fn kill_instance(&mut self, id: InstanceId) {
+    /// Removes an instance and its pending actions.
+    fn close_instance(&mut self, id: InstanceId) {
         self.instances.remove(&id);
         self.pending_actions.retain(|(instance, _)| *instance != id);
     }
 
-    /// Passes an event to its instance. A line for an unknown instance is checked and has no effect.
+    /// Passes an event to its instance. A line for an unknown instance is validated but has no effect.
     fn handle_instance_line(&mut self, line: &InstanceLine) -> Result<(), WireError> {
         let instance = self.instances.get(&line.instance);
         let base_time = instance.map(|instance| instance.base_time).unwrap_or_default();
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Replaces a reference to an inventory by its endpoints.
+    /// Converts a message to an event, replacing a reference to an inventory with its endpoints.
     fn resolve(&self, message: InstanceMessage) -> Result<Event, WireError> {
         match message {
             InstanceMessage::Event(event) => Ok(event),
--- a/src/adapter/main.rs
+++ b/src/adapter/main.rs
@@ -1,5 +1,5 @@
-//! Runs instances of the policy in a simulator: reads lines from standard input, and writes the reply to each
-//! batch of lines to standard output.
+//! Adapter that runs policy instances for a simulator. It reads lines from standard input and writes the
+//! reply to each batch of lines to standard output.
 #![forbid(unsafe_code)]
 
 mod instances;
@@ -10,7 +10,7 @@
 
 use instances::{BatchStatus, Instances};
 
-/// The exit status after a line that cannot be read or handled.
+/// The exit code after a line that cannot be read or handled.
 const EXIT_FAILURE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -25,15 +25,15 @@
         match input.read_until(b'\n', &mut line) {
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => {}
-            Err(error) => return fail(line_number, &format_args!("cannot read: {error}")),
+            Err(error) => return fail(line_number, &format_args!("cannot read standard input: {error}")),
         }
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
         match instances.handle_line(&line, &mut output) {
-            Ok(BatchStatus::Open) => {}
+            Ok(BatchStatus::Incomplete) => {}
             Ok(BatchStatus::Replied) => {
-                // The simulator has ended where it no longer reads.
+                // A closed output means that the simulator has ended.
                 if output.flush().is_err() {
                     return ExitCode::SUCCESS;
                 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reports the line to the operator, and returns the exit status.
+/// Prints the error with its line number to standard error, and returns the exit code.
 fn fail(line_number: u64, error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("pg-pooler-sim-adapter: line {line_number}: {error}");
     ExitCode::from(EXIT_FAILURE)
--- a/src/adapter/wire/decode/endpoints.rs
+++ b/src/adapter/wire/decode/endpoints.rs
@@ -1,4 +1,4 @@
-//! Decodes the endpoints of an inventory, and updates of the endpoint list.
+//! Decoding of inventories of endpoints and of endpoint list updates.
 
 use pg_pooler::interface::{Endpoint, EndpointStatus, Role};
 use pg_pooler::time::ClusterInstant;
@@ -8,7 +8,7 @@
 use crate::wire::names::ListUpdate;
 use crate::wire::{layout, names, InventoryId, WireError};
 
-/// Decodes the entries of an inventory. Fails where one of them is malformed.
+/// Decodes the entries of an inventory. Fails if any entry is malformed.
 pub fn decode_endpoints(entries: &[Value]) -> Result<Vec<Endpoint>, WireError> {
     entries.iter().map(decode_endpoint).collect()
 }
@@ -16,7 +16,7 @@
 fn decode_endpoint(entry: &Value) -> Result<Endpoint, WireError> {
     let fields = Fields(entry.as_array().ok_or(WireError::EntryNotAnArray)?);
     Ok(Endpoint {
-        id: fields.text(layout::endpoint::ID)?.into(),
+        id: fields.string(layout::endpoint::ID)?.into(),
         zone: fields.integer_or_zero(layout::endpoint::ZONE)? as u32,
         group: fields.integer_or_zero(layout::endpoint::GROUP)? as u32,
         status: decode_status(fields)?,
@@ -25,18 +25,18 @@
     })
 }
 
-/// Decodes when an endpoint last started; `None` for long ago.
+/// Decodes when an endpoint last started, or returns `None` if it started long ago.
 fn decode_start(fields: Fields) -> Result<Option<ClusterInstant>, WireError> {
     let started_at = fields.number_or_zero(layout::endpoint::STARTED_AT)?;
     Ok((started_at > 0.0).then_some(ClusterInstant::from_secs(started_at)))
 }
 
 fn decode_status(fields: Fields) -> Result<EndpointStatus, WireError> {
-    let phase = fields.text(layout::endpoint::STATUS)?;
-    names::endpoint_status(phase).ok_or_else(|| WireError::UnknownPhase(phase.to_string()))
+    let status = fields.string(layout::endpoint::STATUS)?;
+    names::endpoint_status(status).ok_or_else(|| WireError::UnknownStatus(status.to_string()))
 }
 
-/// Decodes an update of the endpoint list: what it contains, and the inventory that holds its endpoints.
+/// Decodes an endpoint list update, and the identifier of the inventory with its endpoints.
 pub fn decode_update(fields: Fields) -> Result<(ListUpdate, InventoryId), WireError> {
     let update = decode_list_update(fields)?;
     let inventory = fields.integer_or_zero(layout::endpoint_update::INVENTORY)? as InventoryId;
@@ -44,6 +44,6 @@
 }
 
 fn decode_list_update(fields: Fields) -> Result<ListUpdate, WireError> {
-    let kind = fields.text(layout::endpoint_update::KIND)?;
+    let kind = fields.string(layout::endpoint_update::KIND)?;
     names::list_update(kind).ok_or_else(|| WireError::UnknownUpdateKind(kind.to_string()))
 }
--- a/src/adapter/wire/decode/instance_messages.rs
+++ b/src/adapter/wire/decode/instance_messages.rs
@@ -1,4 +1,4 @@
-//! Decodes the messages that the policy of an instance handles.
+//! Decoding of messages to policy instances.
 
 use std::sync::Arc;
 
@@ -11,9 +11,9 @@
 use crate::wire::names::{request_option, InstanceMessageName, ListUpdate};
 use crate::wire::{layout, BaseTime, InstanceId, InventoryId, WireError};
 
-/// A line for one instance. Its times can only be decoded with the base time of that instance.
+/// A line for one instance. Its log positions can only be decoded with the base time of the instance.
 pub struct InstanceLine {
-    /// The instance that it is for.
+    /// The instance that the line is for.
     pub instance: InstanceId,
     name: InstanceMessageName,
     values: Vec<Value>,
@@ -21,24 +21,24 @@
 
 /// A decoded line for one instance.
 pub enum InstanceMessage {
-    /// The endpoints have changed to those of an inventory.
+    /// An update of the endpoint list with the endpoints of an inventory.
     EndpointsFromInventory { kind: UpdateKind, inventory: InventoryId },
-    /// An event that is complete in itself.
+    /// An event that refers to no inventory.
     Event(Event),
 }
 
 impl InstanceLine {
-    /// A line whose values are not decoded yet.
+    /// Creates a line whose values are not decoded yet.
     pub(super) fn new(instance: InstanceId, name: InstanceMessageName, values: Vec<Value>) -> InstanceLine {
         InstanceLine { instance, name, values }
     }
 
-    /// Decodes the message; `base_time` is that of the instance. Fails where a field has a wrong type or an
+    /// Decodes the message; `base_time` is that of the instance. Fails if a field has the wrong type or an
     /// unknown value.
     pub fn decode(&self, base_time: BaseTime) -> Result<InstanceMessage, WireError> {
         let fields = Fields(&self.values);
         let event = match self.name {
-            // The update only refers to an inventory, which this line does not have.
+            // The update only refers to an inventory, which the caller has to look up.
             InstanceMessageName::EndpointsUpdated => {
                 return Ok(match endpoints::decode_update(fields)? {
                     (ListUpdate::WatchFailed, _) => InstanceMessage::Event(Event::WatchFailed),
@@ -62,9 +62,9 @@
     }
 }
 
-/// Decodes the identifier of the request that a message is about.
+/// Decodes the identifier of the request that a message refers to.
 pub(super) fn decode_request_id(fields: Fields) -> Result<RequestId, WireError> {
-    Ok(fields.text(layout::REQUEST_ID)?.into())
+    Ok(fields.string(layout::REQUEST_ID)?.into())
 }
 
 fn decode_cookie(fields: Fields) -> Result<u64, WireError> {
@@ -89,7 +89,7 @@
     })
 }
 
-/// Decodes the age of the session's last write; `None` where the client does not carry it.
+/// Decodes the age of the session's last write, or returns `None` if the client sent no session token.
 fn decode_session_token_age(fields: Fields) -> Result<Option<Span>, WireError> {
     let age = fields.number_or_zero(layout::request::SESSION_TOKEN_AGE)? / MILLIS_PER_SECOND;
     Ok((age > 0.0).then_some(Span::from_secs(age)))
--- a/src/adapter/wire/decode/mod.rs
+++ b/src/adapter/wire/decode/mod.rs
@@ -1,5 +1,5 @@
-//! Decodes the lines that the simulator sends. This module decodes those for the adapter itself; its
-//! submodules decode what the policy takes.
+//! Decoding of lines from the simulator. This module decodes messages to the adapter itself; its submodules
+//! decode messages to policy instances.
 
 mod endpoints;
 mod instance_messages;
@@ -17,59 +17,58 @@
 
 pub use instance_messages::{InstanceLine, InstanceMessage};
 
-/// Some times on the wire are in milliseconds.
+/// Converts the times that are in milliseconds on the wire.
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// A line of the simulator.
+/// A message from the simulator.
 pub enum Message {
-    /// The time of the messages that follow.
-    Turn { now: LocalInstant },
-    /// The batch is complete; the simulator waits for the reply.
+    /// Sets the time of the following messages.
+    SetTime { now: LocalInstant },
+    /// Ends a batch; the simulator waits for the reply.
     EndOfBatch,
-    /// A list of endpoints to which later messages refer.
+    /// Defines an inventory of endpoints that later messages refer to.
     Inventory { id: InventoryId, endpoints: Vec<Endpoint> },
-    /// Creates an instance of the policy.
+    /// Creates a policy instance.
     OpenInstance(Box<NewInstance>),
-    /// Removes an instance.
-    KillInstance { instance: InstanceId },
-    /// Of no meaning to the policy.
+    /// Removes a policy instance.
+    CloseInstance { instance: InstanceId },
+    /// Has no meaning for the policy.
     Ignored,
-    /// A message to one instance.
+    /// A message to one policy instance.
     Instance(InstanceLine),
 }
 
-/// What an instance is created from.
+/// The parameters of a new policy instance.
 pub struct NewInstance {
     /// Identifies the instance.
     pub id: InstanceId,
-    /// Seeds the random numbers of the policy.
+    /// Seed of the policy's random number generator.
     pub seed: u64,
-    /// The settings of the policy.
+    /// The policy settings.
     pub settings: Settings,
-    /// The time to which the log positions in its messages are relative.
+    /// The time that log positions in its messages are relative to.
     pub base_time: BaseTime,
 }
 
 /// Decodes a line, except for the fields of a message to an instance.
 ///
-/// Fails where the line is no message, the message is unknown, or one of its fields or settings has a wrong
-/// type.
+/// Fails if the line is not a message, the message is unknown, or a field or setting has the wrong type.
 pub fn decode_line(line: &[u8]) -> Result<Message, WireError> {
     let (name, values) = split_line(line)?;
     let fields = Fields(&values);
     let Some(message) = MessageName::from_wire(&name) else {
-        // An unknown message counts as one to an instance, so a malformed instance is reported first.
+        // An unknown message is taken to be one to an instance, so an invalid instance is reported first.
         decode_instance_id(fields)?;
         return Err(WireError::UnknownMessage(name));
     };
     Ok(match message {
-        MessageName::Turn => {
-            Message::Turn { now: LocalInstant::from_secs(fields.number(layout::turn::NOW)?) }
+        MessageName::SetTime => {
+            Message::SetTime { now: LocalInstant::from_secs(fields.number(layout::set_time::NOW)?) }
         }
         MessageName::EndOfBatch => Message::EndOfBatch,
         MessageName::Inventory => decode_inventory(fields)?,
         MessageName::OpenInstance => Message::OpenInstance(Box::new(decode_new_instance(fields)?)),
-        MessageName::KillInstance => Message::KillInstance { instance: decode_instance_id(fields)? },
+        MessageName::CloseInstance => Message::CloseInstance { instance: decode_instance_id(fields)? },
         MessageName::Ignored => Message::Ignored,
         MessageName::Instance(name) => {
             let instance = decode_instance_id(fields)?;
@@ -78,7 +77,7 @@
     })
 }
 
-/// Splits a line into the name of its message and the values of its fields.
+/// Splits a line into the message name and the field values.
 fn split_line(line: &[u8]) -> Result<(String, Vec<Value>), WireError> {
     let Value::Array(mut values) = serde_json::from_slice(line)? else {
         return Err(WireError::LineNotAnArray);
--- a/src/adapter/wire/encode.rs
+++ b/src/adapter/wire/encode.rs
@@ -1,4 +1,4 @@
-//! Encodes the actions of the policy as lines for the simulator.
+//! Encoding of policy actions as lines for the simulator.
 
 use std::io::{self, Write};
 
@@ -9,8 +9,7 @@
 use super::names::reply;
 use super::InstanceId;
 
-/// Writes one line for each action, and the line that ends the reply. Fails where the output cannot be
-/// written.
+/// Writes one line for each action, and the line that ends the reply. Fails if the output cannot be written.
 pub fn write_reply(
     actions: impl IntoIterator<Item = (InstanceId, Action)>,
     output: &mut impl Write,
--- a/src/adapter/wire/layout.rs
+++ b/src/adapter/wire/layout.rs
@@ -1,6 +1,6 @@
-//! The fields of each message: their positions, and their names on the wire as errors show them.
+//! The positions of the fields of each message, and their names on the wire, which errors show.
 //!
-//! A field that is optional and of any type has only a position: no error names it.
+//! A field that no error can name, because any value is accepted, has only a position.
 
 use super::fields::Field;
 
@@ -14,7 +14,7 @@
 pub const REQUEST_ID: Field = Field::new(1, "corr");
 
 /// Fields of the message that sets the time.
-pub mod turn {
+pub mod set_time {
     use super::Field;
 
     /// The time (seconds).
@@ -27,7 +27,7 @@
 
     /// Identifies the inventory.
     pub const ID: Field = Field::new(0, super::INVENTORY);
-    /// The endpoints, an array of entries.
+    /// The endpoints, as an array of entries.
     pub const ENDPOINTS: Field = Field::new(1, "membersList");
 }
 
@@ -37,15 +37,15 @@
 
     /// Identifies the endpoint.
     pub const ID: Field = Field::new(0, super::ENDPOINT);
-    /// The number of its zone.
+    /// The zone number.
     pub const ZONE: Field = Field::new(1, "failureDomain");
-    /// The number of its replica group.
+    /// The replica group number.
     pub const GROUP: Field = Field::new(3, "cell");
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub const STATUS: Field = Field::new(4, "phase");
     /// When it last started (seconds); 0 means long ago.
     pub const STARTED_AT: Field = Field::new(6, "startedAt");
-    /// Whether it is listed as the primary of its group (a flag as a number).
+    /// Whether it is listed as the primary of its group (a numeric flag).
     pub const IS_PRIMARY: Field = Field::new(7, "isPrimary");
 }
 
@@ -53,9 +53,9 @@
 pub mod new_instance {
     use super::Field;
 
-    /// Seeds the random numbers of the policy.
+    /// Seed of the policy's random number generator.
     pub const SEED: Field = Field::new(1, "seed");
-    /// The settings of the policy, an object.
+    /// The policy settings, as an object.
     pub const SETTINGS: usize = 2;
 }
 
@@ -69,25 +69,25 @@
     pub const INVENTORY: Field = Field::new(3, super::INVENTORY);
 }
 
-/// Fields of a request as it was received from a client.
+/// Fields of a request from a client.
 pub mod request {
     use super::Field;
 
     /// Time until the client stops waiting (seconds).
     pub const TIMEOUT: Field = Field::new(2, "expiresIn");
-    /// Age of the session's last write (milliseconds); 0 where the client does not carry it.
+    /// Age of the session's last write (milliseconds); 0 if the client sent no session token.
     pub const SESSION_TOKEN_AGE: Field = Field::new(3, "tokenAgeMs");
-    /// The session, a text.
+    /// The session key, a string.
     pub const SESSION: usize = 4;
-    /// The number of the tenant.
+    /// The tenant number.
     pub const TENANT: Field = Field::new(5, "realm");
-    /// Bits, see [`request_option`](crate::wire::names::request_option).
+    /// Option bits, see [`request_option`](crate::wire::names::request_option).
     pub const OPTIONS: Field = Field::new(6, "opts");
     /// The predicted work (seconds).
     pub const PREDICTED_WORK: usize = 7;
-    /// The number of the request class.
+    /// The request class number.
     pub const CLASS: Field = Field::new(8, "tierClass");
-    /// The number of the replica group that holds the data.
+    /// The number of the replica group with the data.
     pub const GROUP: Field = Field::new(9, "clusterNo");
 }
 
@@ -99,15 +99,15 @@
     pub const POSITION_AND_ROLE: Field = Field::new(2, "posRole");
     /// The endpoint that the attempt was sent to.
     pub const ENDPOINT: Field = Field::new(3, super::ENDPOINT);
-    /// Whether the request has had its final answer.
+    /// Whether the request has received its final response.
     pub const REQUEST_FINISHED: usize = 4;
     /// Time since the attempt was sent (seconds).
     pub const ELAPSED: Field = Field::new(5, "costTime");
-    /// Number of the attempt among those of the request, from 0.
+    /// The zero-based number of the attempt among those of the request.
     pub const ATTEMPT: Field = Field::new(6, "sendNo");
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub const OUTCOME: Field = Field::new(7, super::OUTCOME);
-    /// The load report that came with the answer.
+    /// The load report in the response.
     pub const LOAD_REPORT: usize = 8;
 }
 
@@ -117,9 +117,9 @@
 
     /// The endpoint that was checked.
     pub const ENDPOINT: Field = Field::new(1, super::ENDPOINT);
-    /// How the check ended.
+    /// The outcome of the check.
     pub const OUTCOME: Field = Field::new(2, super::OUTCOME);
-    /// What the endpoint reported.
+    /// The load report in the response.
     pub const LOAD_REPORT: usize = 4;
 }
 
--- a/src/adapter/wire/mod.rs
+++ b/src/adapter/wire/mod.rs
@@ -1,6 +1,6 @@
-//! The simulator's wire: lines of JSON, each an array of the name of a message and its fields.
+//! The simulator's wire format: lines of JSON, each an array of a message name and the message's fields.
 //!
-//! [`names`] and [`layout`] map the words of the wire to the terms that the code uses; no other module knows
+//! [`names`] and [`layout`] map the names on the wire to the terms used in the code; no other module contains
 //! them.
 
 mod base_time;
@@ -16,7 +16,7 @@
 pub use encode::write_reply;
 pub use error::WireError;
 
-/// Identifies an instance of the policy on the wire.
+/// Identifies a policy instance on the wire.
 pub type InstanceId = i64;
 /// Identifies an inventory of endpoints on the wire.
 pub type InventoryId = u64;
--- a/src/adapter/wire/names.rs
+++ b/src/adapter/wire/names.rs
@@ -1,31 +1,31 @@
-//! The words and the codes of the wire, each mapped once to the term that the code uses. The names of fields
-//! are in [`layout`](super::layout).
+//! The names and codes on the wire, each mapped once to the term used in the code. Field names are in
+//! [`layout`](super::layout).
 
 use pg_pooler::interface::{EndpointStatus, Outcome, Role, UpdateKind};
 
-/// The messages of the simulator.
+/// The messages that the simulator sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageName {
-    /// Sets the time of the messages that follow.
-    Turn,
+    /// Sets the time of the following messages.
+    SetTime,
     /// Ends a batch; the simulator waits for the reply.
     EndOfBatch,
-    /// Defines an inventory of endpoints, to which later messages refer.
+    /// Defines an inventory of endpoints that later messages refer to.
     Inventory,
-    /// Creates an instance of the policy.
+    /// Creates a policy instance.
     OpenInstance,
-    /// Removes an instance.
-    KillInstance,
-    /// Is of no meaning to the policy.
+    /// Removes a policy instance.
+    CloseInstance,
+    /// Has no meaning for the policy.
     Ignored,
-    /// Is addressed to one instance and handled by its policy.
+    /// A message to one policy instance.
     Instance(InstanceMessageName),
 }
 
-/// The messages to an instance that are handled by its policy.
+/// The messages to a policy instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceMessageName {
-    /// The endpoint list was updated, or could not be.
+    /// The endpoint list was updated, or an update failed.
     EndpointsUpdated,
     /// A client's request was received.
     RequestReceived,
@@ -33,23 +33,23 @@
     AttemptFinished,
     /// A health check ended.
     HealthChecked,
-    /// A streamed response has begun.
+    /// A streamed response began.
     ResponseStarted,
-    /// The client has disconnected, or has cancelled its request.
+    /// The client disconnected or cancelled its request.
     ClientDisconnected,
-    /// A timer has expired.
+    /// A timer expired.
     TimerExpired,
 }
 
 impl MessageName {
-    /// The message of this name on the wire, if there is one. The names are compared in this order: the most
-    /// frequent ones come first.
+    /// Returns the message with this name on the wire. The names are compared in this order, so the most
+    /// frequent ones are listed first.
     pub fn from_wire(name: &str) -> Option<MessageName> {
         Some(match name {
             "timeoutFired" => MessageName::Instance(InstanceMessageName::TimerExpired),
             "done" => MessageName::Instance(InstanceMessageName::AttemptFinished),
             "arrival" => MessageName::Instance(InstanceMessageName::RequestReceived),
-            "turn" => MessageName::Turn,
+            "turn" => MessageName::SetTime,
             "yourTurn" => MessageName::EndOfBatch,
             "echo" => MessageName::Instance(InstanceMessageName::HealthChecked),
             "members" => MessageName::Instance(InstanceMessageName::EndpointsUpdated),
@@ -57,40 +57,41 @@
             "cancelledByClient" => MessageName::Instance(InstanceMessageName::ClientDisconnected),
             "inventory" => MessageName::Inventory,
             "openInstance" => MessageName::OpenInstance,
-            "kill" => MessageName::KillInstance,
+            "kill" => MessageName::CloseInstance,
             "message" => MessageName::Ignored,
             _ => return None,
         })
     }
 }
 
-/// The lines of a reply. Each begins with its name and the instance, except for the last one.
+/// The names of the lines in a reply. Each line has its name and the instance, followed by the fields listed
+/// here; the last line has only its name.
 pub mod reply {
     /// Start an attempt: request, endpoint, timeout (seconds).
     pub const SEND: &str = "forward";
-    /// Cancel an attempt: request, number of the attempt.
+    /// Cancel an attempt: request, attempt number.
     pub const CANCEL_ATTEMPT: &str = "cancel";
     /// Reject a request: request, Retry-After (seconds; 0 for none).
     pub const REJECT: &str = "decline";
     /// Fail a request: request.
     pub const FAIL: &str = "fail";
-    /// Set a timer: when it expires (seconds), cookie.
+    /// Set a timer: expiry time (seconds), cookie.
     pub const SET_TIMER: &str = "remind";
     /// Send a health check: endpoint.
     pub const HEALTH_CHECK: &str = "touch";
     /// Close the idle connections to an endpoint: endpoint.
     pub const CLOSE_IDLE_CONNECTIONS: &str = "letGo";
-    /// Watch the endpoint list from now on: always true.
+    /// Watch the endpoint list: always true.
     pub const WATCH: &str = "listen";
-    /// Write a line to the operator's log: text.
+    /// Write a line to the operator's log: message.
     pub const LOG: &str = "journalLine";
     /// The reply is complete.
     pub const END: &str = "finished";
 }
 
-/// The status of an endpoint.
-pub fn endpoint_status(phase: &str) -> Option<EndpointStatus> {
-    Some(match phase {
+/// Returns the endpoint status with this name on the wire.
+pub fn endpoint_status(name: &str) -> Option<EndpointStatus> {
+    Some(match name {
         "active" => EndpointStatus::Serving,
         "leaving" => EndpointStatus::Draining,
         "left" => EndpointStatus::Removed,
@@ -101,13 +102,13 @@
 /// An update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// There is none: a call failed or the watch broke.
+    /// No list was received: a call failed or the watch was lost.
     WatchFailed,
-    /// It contains this.
+    /// A list was received.
     Contents(UpdateKind),
 }
 
-/// The update of this kind on the wire, if there is one.
+/// Returns the list update with this kind on the wire.
 pub fn list_update(kind: &str) -> Option<ListUpdate> {
     Some(match kind {
         "INCREMENTAL" => ListUpdate::Contents(UpdateKind::Delta),
@@ -118,7 +119,7 @@
     })
 }
 
-/// How an attempt or a health check ended.
+/// Returns the outcome of an attempt or a health check with this code on the wire.
 pub fn outcome(code: i64) -> Option<Outcome> {
     Some(match code {
         0 => Outcome::Error,
@@ -134,7 +135,7 @@
     })
 }
 
-/// The role in which an endpoint answered; `None` where the answer does not say.
+/// Returns the role in which an endpoint answered, or `None` if the response does not say.
 pub fn role(code: i64) -> Option<Role> {
     match code {
         1 => Some(Role::Primary),
@@ -143,24 +144,24 @@
     }
 }
 
-/// Whether a flag that the wire carries as a number is set.
+/// Returns whether a flag that is a number on the wire is set.
 pub fn is_set(flag: f64) -> bool {
     flag == 1.0
 }
 
-/// The bits of a request's options. That the client has sent the request before (2) is read by no rule.
+/// Bits of the options of a request. The bit of value 2, which marks a retry by the client, is not used.
 pub mod request_option {
     /// The predicted work is valid.
     pub const PREDICTED_WORK: i64 = 1;
 }
 
-/// The fields of a load report, which is an object.
+/// The keys of a load report, which is an object.
 pub mod load_report {
     /// The applied log position (seconds after the base time of the instance).
     pub const LOG_POSITION: &str = "x0";
-    /// Whether the endpoint is the primary (a flag as a number).
+    /// Whether the endpoint is the primary (a numeric flag).
     pub const IS_PRIMARY: &str = "x1";
 }
 
-/// Where the settings of an instance hold its base time (Unix seconds).
+/// JSON pointer to the base time (Unix seconds) in the settings of an instance.
 pub const BASE_TIME_POINTER: &str = "/specifics/baseTime";
