--- a/src/policy/admission/latency.rs
+++ b/src/policy/admission/latency.rs
@@ -1,8 +1,9 @@
-//! A running estimate of a latency, as TCP keeps one of its round-trip time (RFC 6298).
+//! Latency estimation by exponentially weighted moving averages, as TCP estimates its round-trip time
+//! (RFC 6298).
 
 use crate::time::Span;
 
-/// Exponentially weighted means of a latency and of its deviation from the mean.
+/// Exponentially weighted moving averages of a latency and of its absolute deviation from the mean.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LatencyEstimator {
     mean: Span,
@@ -10,28 +11,26 @@
 }
 
 impl LatencyEstimator {
-    /// An estimate to begin with; its deviation is as large as its mean.
+    /// Creates an estimate whose mean and deviation are both `initial`.
     pub(crate) fn new(initial: Span) -> LatencyEstimator {
         LatencyEstimator { mean: initial, deviation: initial }
     }
 
-    /// Takes in a measurement, which has this weight against all earlier ones.
+    /// Adds a sample; `weight` is its weight relative to all earlier samples, from 0 to 1.
     pub(crate) fn record(&mut self, latency: Span, weight: f64) {
         self.deviation += weight * ((latency - self.mean).abs() - self.deviation);
         self.mean += weight * (latency - self.mean);
     }
 
-    /// The mean latency.
     pub(crate) fn mean(&self) -> Span {
         self.mean
     }
 
-    /// The mean deviation from the mean latency.
     pub(crate) fn deviation(&self) -> Span {
         self.deviation
     }
 
-    /// The mean plus so many deviations.
+    /// Returns the mean plus this many deviations.
     pub(crate) fn upper_bound(&self, deviations: f64) -> Span {
         self.mean + deviations * self.deviation
     }
--- a/src/policy/connection_shortage.rs
+++ b/src/policy/connection_shortage.rs
@@ -1,29 +1,29 @@
-//! Shortage of connections at endpoints: all poolers together may use up those that an endpoint accepts, most
-//! of them idle. After a refusal, idle connections are closed for some time.
+//! Connection shortage at endpoints: the idle connections of all poolers together can exhaust the connection
+//! limit of an endpoint. After an endpoint has refused a connection, idle connections are closed for a while.
 
 use crate::policy::cluster::Cluster;
 use crate::time::LocalInstant;
 
-/// So many poolers or fewer cannot exhaust an endpoint's connections with idle ones.
-const MAX_HARMLESS_POOLERS: u32 = 200;
+/// Up to this number of poolers, idle connections alone cannot exhaust the connection limit of an endpoint.
+const MAX_POOLERS_WITHOUT_SHORTAGE: u32 = 200;
 
-/// Whether endpoints are short of connections.
+/// Tracks whether endpoints are assumed to be short of connections.
 #[derive(Default)]
 pub(crate) struct ConnectionShortage {
-    /// Until then endpoints are taken to have no connections to spare.
-    expected_until: Option<LocalInstant>,
+    /// End of the assumed shortage; `None` if no endpoint has refused a connection.
+    active_until: Option<LocalInstant>,
 }
 
 impl ConnectionShortage {
-    /// Notes that an endpoint has refused a connection.
+    /// Records that an endpoint has refused a connection.
     pub(crate) fn record_refusal(&mut self, cluster: &Cluster) {
-        if cluster.settings().pooler_count > MAX_HARMLESS_POOLERS {
-            self.expected_until = Some(cluster.now() + cluster.settings().max_watch_gap);
+        if cluster.settings().pooler_count > MAX_POOLERS_WITHOUT_SHORTAGE {
+            self.active_until = Some(cluster.now() + cluster.settings().max_watch_gap);
         }
     }
 
-    /// Whether idle connections are to be closed.
+    /// Returns whether idle connections should be closed now.
     pub(crate) fn is_active(&self, now: LocalInstant) -> bool {
-        self.expected_until.is_some_and(|until| now < until)
+        self.active_until.is_some_and(|until| now < until)
     }
 }
--- a/src/policy/random/tests.rs
+++ b/src/policy/random/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(draws(3, 4).indices(1), Some([0, 0]));
     for len in 2..6 {
         for draws in (0..40).map(|number| draws(number % 7, number / 7)) {
-            let [first, second] = draws.indices(len).expect("there are candidates");
+            let [first, second] = draws.indices(len).expect("len is not 0");
             assert!(first != second && first < len && second < len, "{len} {draws:?}");
         }
     }
