--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -1,8 +1,8 @@
-//! Admission: load shedding by predicted latency, and the quotas of tenants.
+//! Admission control: load shedding by predicted latency, and tenant quotas.
 //!
-//! A request is admitted to an endpoint if its predicted latency takes no more than a share of its latency
-//! objective. The share is larger for requests of higher priority, so that under overload the others are
-//! rejected first. The prediction is the recent latency of the class times the load of the endpoint.
+//! A request is admitted to an endpoint if its predicted latency is at most a share of its latency objective.
+//! The share grows with the priority of the request, so that requests of low priority are rejected first
+//! under overload. The prediction scales the recent latency of the class by the load of the endpoint.
 
 mod latency;
 
@@ -13,79 +13,78 @@
 use crate::time::{LocalInstant, Span};
 pub(crate) use latency::LatencyEstimator;
 
-/// Share of the latency objective that the predicted latency may take, for the lowest priority ...
+/// Share of the latency objective that the predicted latency may take at the lowest priority.
 const MIN_OBJECTIVE_SHARE: f64 = 0.45;
-/// ... and for the class of the highest priority.
+/// Share of the latency objective that the predicted latency may take at the highest priority.
 const MAX_OBJECTIVE_SHARE: f64 = 0.75;
-/// Requests in flight at an endpoint, from all poolers together, that are admitted in any case.
-const ALWAYS_ADMITTED: f64 = 8.0;
-/// Smallest burst of a tenant: with many poolers, one second of its quota is less than one request.
+/// Requests in flight at an endpoint, over all poolers, that are admitted whatever their predicted latency.
+const UNCONDITIONAL_IN_FLIGHT: f64 = 8.0;
+/// Smallest burst allowed to a tenant. With many poolers, the share of one pooler in the quota can be less
+/// than one request per second.
 const MIN_TENANT_BURST: f64 = 2.0;
-/// Load shedding is logged again once it has paused for this long.
+/// Load shedding is logged again after no request has been shed for this long.
 const SHEDDING_LOG_INTERVAL: Span = Span::from_secs(1.0);
-/// Initial estimate of a class's latency, as a share of its objective.
+/// Initial latency estimate of a class, as a share of its latency objective.
 const INITIAL_LATENCY_SHARE: f64 = 0.25;
-/// Weight of a new sample in the latency of a class, which so covers about ten answers.
+/// Weight of a new sample in the latency of a class: the estimate covers about ten answers.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.1;
-/// Shortest latency that lowers a priority: below it, classes count as equally quick.
+/// Lower limit of the latency from which a priority is computed: faster classes count as equally fast.
 const MIN_PRIORITY_LATENCY: Span = Span::from_secs(1e-3);
-/// Lowest priority that others are compared with, in case every class has none.
+/// Lower limit of the highest priority, which avoids a division by zero if all classes have priority 0.
 const MIN_HIGHEST_PRIORITY: f64 = 1e-9;
 
-/// The latencies of the classes and the quotas of the tenants.
+/// Latency estimates by class, and tenant quotas.
 pub(crate) struct Admission {
-    /// Latency of successful attempts, by class.
+    /// Latency of successful attempts, indexed by class.
     latencies: Vec<LatencyEstimator>,
-    /// This pooler's part of each quota; none for tenants without a limit.
+    /// This pooler's share of each quota, indexed by tenant; `None` for tenants without a limit.
     tenant_quotas: Vec<Option<TokenBucket>>,
-    /// Load shedding is not logged again before then.
-    shedding_logged_until: Option<LocalInstant>,
+    /// Load shedding is not logged before this time.
+    shedding_log_muted_until: Option<LocalInstant>,
 }
 
 impl Admission {
-    /// Estimates to begin with, and full quotas.
     pub(crate) fn new(settings: &Settings) -> Admission {
         let poolers = f64::from(settings.pooler_count);
         let initial_latency =
             |class: &RequestClass| LatencyEstimator::new(class.latency_objective * INITIAL_LATENCY_SHARE);
         let bucket = |quota: &Option<f64>| {
-            quota.map(|per_second| TokenBucket::earning(per_second / poolers, MIN_TENANT_BURST))
+            quota.map(|per_second| TokenBucket::with_refill_rate(per_second / poolers, MIN_TENANT_BURST))
         };
         Admission {
             latencies: settings.classes.iter().map(initial_latency).collect(),
             tenant_quotas: settings.tenant_quota.iter().map(bucket).collect(),
-            shedding_logged_until: None,
+            shedding_log_muted_until: None,
         }
     }
 
-    /// Charges a request to the quota of its tenant.
+    /// Charges a request to the quota of its tenant. A tenant that the settings do not have is unlimited.
     pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaUse {
         let quota = self.tenant_quotas.get_mut(tenant).and_then(Option::as_mut);
-        if quota.is_none_or(|quota| quota.refill(now).withdraw_up_to_one()) {
+        if quota.is_none_or(|quota| quota.refill(now).withdraw_saturating()) {
             QuotaUse::Within
         } else {
             QuotaUse::Beyond
         }
     }
 
-    /// The latency of a class.
     pub(crate) fn class_latency(&self, class: usize) -> &LatencyEstimator {
         &self.latencies[class]
     }
 
-    /// Takes in the latency of a successful attempt.
+    /// Adds the latency of a successful attempt to the estimate of its class.
     pub(crate) fn record_latency(&mut self, class: usize, latency: Span) {
         self.latencies[class].record(latency, LATENCY_SAMPLE_WEIGHT);
     }
 
-    /// Expected latency of one more request of a class at an endpoint.
+    /// Predicts the latency of one more request of a class at an endpoint.
     pub(crate) fn predicted_latency(&self, to: EndpointKey, class: usize, cluster: &Cluster) -> Span {
         let class_mean = self.latencies[class].mean();
         cluster.endpoint(to).load().predict_latency(class_mean, cluster.now())
     }
 
-    /// Whether an endpoint can answer a request in time. `objective_factor` is the part of the latency
-    /// objective that is counted with: less than 1 keeps capacity for other requests.
+    /// Returns whether an endpoint is predicted to answer a request in time. The latency objective is
+    /// multiplied by `objective_factor`; a factor below 1 reserves capacity for other requests.
     pub(crate) fn admits(
         &self,
         request: &PendingRequest,
@@ -93,7 +92,8 @@
         objective_factor: f64,
         cluster: &Cluster,
     ) -> bool {
-        // A late request must not wait in a longer queue: it would delay the requests that are still in time.
+        // A late request is measured by its deadline, but gets no more time than the latency objective of its
+        // class: in a longer queue it would delay requests that are still in time.
         let is_late = cluster.now() >= request.terms().objective_at;
         let ends_at = if is_late { request.terms().deadline } else { request.terms().objective_at };
         let time_left = ends_at - cluster.now();
@@ -101,10 +101,11 @@
         let priority = self.relative_priority(request, cluster);
         let share = MIN_OBJECTIVE_SHARE + (MAX_OBJECTIVE_SHARE - MIN_OBJECTIVE_SHARE) * priority;
         let predicted = self.predicted_latency(to, request.class(), cluster);
-        predicted <= objective * share || always_admits(to, predicted, cluster)
+        predicted <= objective * share || admits_unconditionally(to, predicted, cluster)
     }
 
-    /// Priority relative to the class with the highest one; lower beyond the tenant's quota.
+    /// Returns the priority relative to the class of the highest priority, reduced for requests beyond the
+    /// quota of their tenant.
     fn relative_priority(&self, request: &PendingRequest, cluster: &Cluster) -> f64 {
         let settings = cluster.settings();
         let classes = settings.classes.iter().zip(&self.latencies);
@@ -117,24 +118,27 @@
         }
     }
 
-    /// Notes that load is shed. Returns whether that is to be logged.
+    /// Records that a request was shed. Returns whether that should be logged.
     pub(crate) fn record_shedding(&mut self, now: LocalInstant) -> bool {
-        let is_logged = self.shedding_logged_until.is_none_or(|until| now >= until);
-        self.shedding_logged_until = Some(now + SHEDDING_LOG_INTERVAL);
-        is_logged
+        let should_log = self.shedding_log_muted_until.is_none_or(|until| now >= until);
+        self.shedding_log_muted_until = Some(now + SHEDDING_LOG_INTERVAL);
+        should_log
     }
 }
 
-/// Some requests are admitted whatever the prediction, so that estimates can recover: while the pooler has
-/// few in flight there, and one in each time that its part of [`ALWAYS_ADMITTED`] takes.
-fn always_admits(to: EndpointKey, predicted: Span, cluster: &Cluster) -> bool {
+/// Admits some requests whatever their predicted latency, so that the estimates can recover: while this
+/// pooler has fewer requests in flight at the endpoint than its share of [`UNCONDITIONAL_IN_FLIGHT`], and
+/// otherwise at the rate that this share would sustain at the predicted latency.
+fn admits_unconditionally(to: EndpointKey, predicted: Span, cluster: &Cluster) -> bool {
     let load = cluster.endpoint(to).load();
-    let own_share = ALWAYS_ADMITTED / f64::from(cluster.settings().pooler_count);
-    let has_few = f64::from(load.total(cluster.now()) + 1) <= own_share;
-    has_few || load.last_sent_at().is_none_or(|sent_at| cluster.now() - sent_at > predicted / own_share)
+    let pooler_share = UNCONDITIONAL_IN_FLIGHT / f64::from(cluster.settings().pooler_count);
+    let is_within_share = f64::from(load.total(cluster.now()) + 1) <= pooler_share;
+    is_within_share
+        || load.last_sent_at().is_none_or(|sent_at| cluster.now() - sent_at > predicted / pooler_share)
 }
 
-/// Weight over the root of the latency: of equal weights the quicker class is preferred, but not strictly.
+/// Returns the priority weight divided by the square root of the latency. Of classes of equal weight, the
+/// faster one is preferred, but not in proportion to its speed.
 fn priority(class: &RequestClass, latency: &LatencyEstimator) -> f64 {
     class.priority_weight / latency.mean().max(MIN_PRIORITY_LATENCY).as_secs().sqrt()
 }
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -12,7 +12,7 @@
     /// Makes the endpoint with the newest claim the group's primary, and dispatches queued requests.
     pub(crate) fn update_primary(&mut self, group_id: u32) {
         let Some(group) = self.cluster.group(group_id) else { return };
-        let primary = primary::elect(group, &self.cluster);
+        let primary = primary::newest_claimant(group, &self.cluster);
         if primary != group.primary() {
             let id = primary.map(|endpoint| self.cluster.endpoint(endpoint).id().clone());
             let change = StateChange::PrimaryChanged { group: group_id, primary: id };
@@ -32,7 +32,7 @@
         let mut waiting = Vec::new();
         for key in group.take_queue() {
             let Some(request) = self.requests.unfinished_mut(key) else { continue };
-            if primary::must_wait(request, primary, &self.cluster) {
+            if primary::must_stay_queued(request, primary, &self.cluster) {
                 waiting.push(key);
             } else {
                 request.leave_queue();
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -1,5 +1,5 @@
-//! The primary of a group: which endpoint it is, namely the one with the newest claim, by itself or by the
-//! list; and whether it may get a request that only the primary can take.
+//! The primary of a group: selection of the endpoint with the newest claim, made by the endpoint itself or by
+//! the endpoint list, and routing of requests that only the primary can take.
 
 pub(crate) mod health_checks;
 pub(crate) mod search;
@@ -12,20 +12,20 @@
 use crate::policy::slow_start::SlowStart;
 use crate::policy::{NoRoute, Route};
 
-/// Assumed age of the roles in the endpoint list, as a share of the watch gap.
+/// Assumed age of the roles in the endpoint list, as a share of the longest watch gap.
 const LISTED_ROLE_AGE_SHARE: f64 = 0.5;
-/// Part of the latency objective that admission control counts with for requests that need the primary.
+/// Factor of the latency objective in admission control, for requests that need the primary.
 const OBJECTIVE_FACTOR: f64 = 1.0;
 /// Queued requests are dispatched while the primary has fewer requests in flight than this.
 const MAX_IN_FLIGHT_WHEN_DEQUEUING: u32 = 6;
 
-/// The endpoint with the newest claim to be the primary of a group.
-pub(crate) fn elect(group: &Group, cluster: &Cluster) -> Option<EndpointKey> {
+/// Returns the endpoint with the newest claim to be the primary of a group.
+pub(crate) fn newest_claimant(group: &Group, cluster: &Cluster) -> Option<EndpointKey> {
     let list_age = cluster.settings().max_watch_gap * LISTED_ROLE_AGE_SHARE;
     let mut newest: Option<(PrimaryClaim, EndpointKey)> = None;
     for endpoint in cluster.usable_endpoints(group) {
         let Some(claim) = cluster.endpoint(endpoint).primary_claim(list_age) else { continue };
-        // Of claims of the same time, the last one counts.
+        // Of claims with the same time, the last one wins.
         if newest.is_none_or(|(other, _)| !claim.is_older_than(&other)) {
             newest = Some((claim, endpoint));
         }
@@ -33,15 +33,20 @@
     newest.map(|(_, endpoint)| endpoint)
 }
 
-/// Whether a queued request has to wait on: while the primary is busy, only those are sent that are late.
-pub(crate) fn must_wait(request: &PendingRequest, primary: Option<EndpointKey>, cluster: &Cluster) -> bool {
+/// Returns whether a request has to stay queued. While the primary is busy, only requests that have missed
+/// their latency objective are sent.
+pub(crate) fn must_stay_queued(
+    request: &PendingRequest,
+    primary: Option<EndpointKey>,
+    cluster: &Cluster,
+) -> bool {
     let in_flight = |endpoint: EndpointKey| cluster.endpoint(endpoint).load().in_flight();
     let is_busy = primary.is_some_and(|primary| in_flight(primary) >= MAX_IN_FLIGHT_WHEN_DEQUEUING);
     is_busy && request.terms().objective_at > cluster.now()
 }
 
-/// Whether the primary gets a request that only the primary can take. The request is queued while no
-/// primary is known, or none that may take it.
+/// Routes a request that only the primary can take. An ejected primary gets it if a trial is due. The request
+/// is queued while no primary is known, the primary is ejected, or its slow start does not admit the request.
 pub(crate) fn route(
     request: &PendingRequest,
     cluster: &Cluster,
@@ -54,7 +59,7 @@
     if cluster.is_trial_due(primary) {
         return Ok(primary);
     }
-    if !cluster.is_healthy(primary) || !slow_start.admits_to_primary(request, primary, cluster) {
+    if !cluster.is_healthy(primary) || !slow_start.admits_primary_request(request, primary, cluster) {
         return Err(NoRoute::Queue);
     }
     if !admission.admits(request, primary, OBJECTIVE_FACTOR, cluster) {
--- a/src/policy/primary/search.rs
+++ b/src/policy/primary/search.rs
@@ -1,4 +1,8 @@
-//! The search for a lost primary: by health checks where they are allowed, otherwise by a queued write.
+//! The search for a lost primary: by health checks where the settings allow them, otherwise by a discovery
+//! write.
+//!
+//! A discovery write is a queued write that is sent to an endpoint which may be the primary. If it is not the
+//! primary, it rejects the write without executing it.
 
 use fastrand::Rng;
 
@@ -9,30 +13,29 @@
 use crate::policy::slow_start::SlowStart;
 use crate::time::{LocalInstant, Span};
 
-/// Interval between two steps of the search, in multiples of the connect timeout.
+/// Mean interval between two steps of the search, in multiples of the connect timeout.
 const SEARCH_INTERVAL: f64 = 0.8;
 
 /// The search for the primary of one group.
 #[derive(Default)]
 pub(crate) struct PrimarySearch {
-    /// When the next step is due, while there is no healthy primary.
+    /// When the next step is due; `None` while no search is in progress.
     next_step_at: Option<LocalInstant>,
-    /// The write that was last sent in search of a primary.
+    /// The latest discovery write.
     discovery_write: Option<RequestKey>,
 }
 
 impl PrimarySearch {
-    /// Starts the search, unless it goes on already.
+    /// Starts the search unless one is in progress.
     pub(crate) fn start(&mut self, now: LocalInstant) {
         self.next_step_at.get_or_insert(now);
     }
 
-    /// Ends the search.
     pub(crate) fn stop(&mut self) {
         self.next_step_at = None;
     }
 
-    /// Whether a step is due now. Schedules the next one then.
+    /// Returns whether a step is due now, and schedules the next one if so.
     pub(crate) fn step_if_due(&mut self, now: LocalInstant, connect_timeout: Span, rng: &mut Rng) -> bool {
         if self.next_step_at.is_none_or(|next| now < next) {
             return false;
@@ -41,23 +44,21 @@
         true
     }
 
-    /// Notes that a write was sent in search of a primary.
+    /// Records that a discovery write was sent.
     pub(crate) fn start_discovery(&mut self, write: RequestKey) {
         self.discovery_write = Some(write);
     }
 }
 
-/// A queued write and the endpoint that is asked by it whether it is the primary.
+/// A discovery write and its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DiscoveryWrite {
-    /// The write.
     pub(crate) request: RequestKey,
-    /// Where it is sent.
     pub(crate) endpoint: EndpointKey,
 }
 
-/// The queued write to search with, and where to: the endpoint with the latest log position. One write is in
-/// flight at a time.
+/// Selects the next discovery write: the first suitable request of the queue, and as its target the endpoint
+/// with the latest log position. At most one discovery write of a group is in flight.
 pub(crate) fn discovery_write(
     group: &Group,
     requests: &RequestTable,
@@ -73,8 +74,8 @@
         queued.into_iter().find(|(_, request)| retry::may_discover_primary(request, cluster))?;
     let is_candidate = |endpoint: &EndpointKey| {
         let is_usable = cluster.accepts_requests(*endpoint) && cluster.is_healthy(*endpoint);
-        let is_new = !request.has_tried(*endpoint);
-        is_usable && is_new && slow_start.admits_to_primary(request, *endpoint, cluster)
+        let is_untried = !request.has_tried(*endpoint);
+        is_usable && is_untried && slow_start.admits_primary_request(request, *endpoint, cluster)
     };
     let candidates = group.members().iter().copied().filter(is_candidate);
     let endpoint =
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -1,20 +1,20 @@
-//! Routing of reads: which endpoint gets a read that a replica may answer.
+//! Routing of reads that a replica may answer.
 //!
-//! Each of these steps chooses one endpoint at most; the read goes to the first one that admission control
-//! allows (see [`Admission::admits`]):
+//! Each of the following steps selects at most one endpoint. The read is sent to the first selected endpoint
+//! that passes admission control (see [`Admission::admits`]):
 //!
-//! 1. a replica that is fresh, first in the pooler's zone; in that zone also one that may be fresh and has no
-//!    other request of this pooler;
-//! 2. a replica that may be fresh, if there is none for step 1;
-//! 3. the primary, as far as it has capacity to spare;
-//! 4. an ejected endpoint, as the last resort.
+//! 1. a fresh replica, preferably in the pooler's zone; in that zone, a replica that may be fresh also
+//!    qualifies if it has no other request of this pooler in flight;
+//! 2. a replica that may be fresh, if there is no candidate for step 1;
+//! 3. the primary, if it has spare capacity;
+//! 4. an ejected endpoint, as a last resort.
 //!
-//! An endpoint that was tried before is not tried again. An ejected endpoint whose trial is due counts as
-//! healthy in the first three steps.
+//! An endpoint that was already tried for this request is not tried again. An ejected endpoint whose trial is
+//! due counts as healthy in the first three steps.
 //!
-//! If none is chosen, the read is given up where there is no endpoint at all ([`GiveUpReason::NoEndpoint`])
-//! or admission control refused one ([`GiveUpReason::NoCapacity`]); a refusal in step 2 does not count.
-//! Otherwise the read waits in the queue of its group.
+//! If no endpoint is selected, the read is given up if there is no endpoint at all
+//! ([`GiveUpReason::NoEndpoint`]) or admission control refused one ([`GiveUpReason::NoCapacity`]); a refusal
+//! in step 2 does not count. Otherwise the read waits in the queue of its group.
 
 use fastrand::Rng;
 
@@ -30,46 +30,49 @@
 use crate::settings::Consistency;
 use crate::time::LocalInstant;
 
-/// A read leaves its zone at more than this multiple of the load of the least loaded remote replica ...
-const EXIT_MULTIPLE: u32 = 2;
-/// ... and at least this many more requests in flight.
-const EXIT_MARGIN: u32 = 3;
-/// Part of the latency objective that admission control counts with for reads on a replica ...
+/// A read spills over to another zone if the load of the local replica is more than this multiple of the load
+/// of the least loaded remote replica, and exceeds it by [`SPILLOVER_MIN_DIFFERENCE`].
+const SPILLOVER_LOAD_FACTOR: u32 = 2;
+/// Minimum difference in requests in flight for a spillover.
+const SPILLOVER_MIN_DIFFERENCE: u32 = 3;
+/// Factor of the latency objective in admission control, for reads on a replica.
 const REPLICA_OBJECTIVE_FACTOR: f64 = 1.0;
-/// ... and on the primary, which must keep capacity for writes and strong reads.
+/// Factor of the latency objective in admission control, for reads on the primary: it must keep capacity for
+/// writes and strong reads.
 const PRIMARY_OBJECTIVE_FACTOR: f64 = 0.35;
-/// So many replicas that are behind are considered for a long read: it would delay the log of each of them.
+/// Maximum number of lagging replicas that are considered for a long read, because a long read delays the
+/// replication of each replica that it runs on.
 const MAX_CANDIDATES_FOR_LONG_READ: usize = 2;
 
-/// What one step has found.
-enum Step {
-    /// This endpoint gets the read.
-    Chosen(EndpointKey),
-    /// There is an endpoint, but it cannot answer in time.
+/// Result of one routing step.
+enum StepResult {
+    /// The read is sent to this endpoint.
+    Selected(EndpointKey),
+    /// The candidate did not pass admission control.
     NotAdmitted,
-    /// There is no endpoint of this kind.
+    /// No endpoint qualifies for the step.
     NoCandidate,
 }
 
-/// One read that is to be routed, and what is known for it.
+/// Routes one read.
 pub(crate) struct ReadRouter<'a> {
     request: &'a PendingRequest,
     cluster: &'a Cluster,
     admission: &'a Admission,
     slow_start: &'a SlowStart,
     required: RequiredPosition,
-    /// Share of the group's reads for an endpoint in slow start.
+    /// See [`SlowStart::read_share`].
     slow_start_share: f64,
     choices: TwoChoices,
     primary: Option<EndpointKey>,
-    /// Usable endpoints of its group that it has not tried; the primary among them.
+    /// Usable endpoints of the group that were not tried for this request, including the primary.
     candidates: Vec<EndpointKey>,
-    /// The replicas among them for step 1.
+    /// The candidates of step 1.
     preferred_replicas: Vec<EndpointKey>,
 }
 
 impl<'a> ReadRouter<'a> {
-    /// Looks at the group of a read; none if it is not known.
+    /// Prepares the routing of a read. Returns `None` if its group is unknown.
     pub(crate) fn new(
         request: &'a PendingRequest,
         cluster: &'a Cluster,
@@ -80,17 +83,17 @@
         let choices = TwoChoices::draw(rng);
         let group = cluster.group(request.group())?;
         let consistency = cluster.class(request.class()).consistency;
-        let is_new = |endpoint: &EndpointKey| !request.has_tried(*endpoint);
+        let is_untried = |endpoint: &EndpointKey| !request.has_tried(*endpoint);
         let mut router = ReadRouter {
             request,
             cluster,
             admission,
             slow_start,
             required: RequiredPosition::of(consistency, request.terms().session_token, cluster),
-            slow_start_share: slow_start.share_of_reads(group, cluster),
+            slow_start_share: slow_start.read_share(group, cluster),
             choices,
             primary: group.primary(),
-            candidates: cluster.usable_endpoints(group).filter(is_new).collect(),
+            candidates: cluster.usable_endpoints(group).filter(is_untried).collect(),
             preferred_replicas: Vec::new(),
         };
         router.preferred_replicas =
@@ -98,7 +101,7 @@
         Some(router)
     }
 
-    /// The endpoint that gets the read, or why none does now.
+    /// Returns the endpoint that gets the read, or the reason why it cannot be sent now.
     pub(crate) fn route(&self) -> Route {
         let steps = [
             ReadRouter::preferred_replica,
@@ -113,66 +116,67 @@
         };
         for step in steps {
             match step(self) {
-                Step::Chosen(endpoint) => return Ok(endpoint),
-                Step::NotAdmitted => no_route = NoRoute::GiveUp(GiveUpReason::NoCapacity),
-                Step::NoCandidate => {}
+                StepResult::Selected(endpoint) => return Ok(endpoint),
+                StepResult::NotAdmitted => no_route = NoRoute::GiveUp(GiveUpReason::NoCapacity),
+                StepResult::NoCandidate => {}
             }
         }
         Err(no_route)
     }
 
-    fn preferred_replica(&self) -> Step {
+    fn preferred_replica(&self) -> StepResult {
         match self.choose_preferred_replica() {
-            Some(replica) => self.admit(replica, REPLICA_OBJECTIVE_FACTOR),
-            None => Step::NoCandidate,
+            Some(replica) => self.check_admission(replica, REPLICA_OBJECTIVE_FACTOR),
+            None => StepResult::NoCandidate,
         }
     }
 
-    /// A replica that may be fresh: if it is not, it rejects the read without executing it. One that cannot
-    /// answer in time counts as none.
-    fn possibly_fresh_replica(&self) -> Step {
+    /// Selects a replica that may be fresh. If it is not, it rejects the read without executing it. A refusal
+    /// by admission control counts as [`StepResult::NoCandidate`].
+    fn possibly_fresh_replica(&self) -> StepResult {
         if !self.preferred_replicas.is_empty() {
-            return Step::NoCandidate;
+            return StepResult::NoCandidate;
         }
-        let may_take_it = |replica: &EndpointKey| {
+        let is_candidate = |replica: &EndpointKey| {
             self.freshness(*replica) != Freshness::Stale && self.is_available(*replica)
         };
-        let candidates = self.replicas().filter(may_take_it);
+        let candidates = self.replicas().filter(is_candidate);
         let cost = |replica: &EndpointKey| (!self.cluster.is_local(*replica), self.cluster.load(*replica));
-        let Some(replica) = candidates.min_by_key(cost) else { return Step::NoCandidate };
-        match self.admit(replica, REPLICA_OBJECTIVE_FACTOR) {
-            Step::NotAdmitted => Step::NoCandidate,
-            step => step,
+        let Some(replica) = candidates.min_by_key(cost) else { return StepResult::NoCandidate };
+        match self.check_admission(replica, REPLICA_OBJECTIVE_FACTOR) {
+            StepResult::NotAdmitted => StepResult::NoCandidate,
+            result => result,
         }
     }
 
-    fn primary_with_spare_capacity(&self) -> Step {
+    fn primary_with_spare_capacity(&self) -> StepResult {
         let is_usable =
             |primary: &EndpointKey| self.candidates.contains(primary) && self.is_available(*primary);
         match self.primary.filter(is_usable) {
-            Some(primary) => self.admit(primary, PRIMARY_OBJECTIVE_FACTOR),
-            None => Step::NoCandidate,
+            Some(primary) => self.check_admission(primary, PRIMARY_OBJECTIVE_FACTOR),
+            None => StepResult::NoCandidate,
         }
     }
 
-    /// The last resort: an ejected endpoint that still answers some requests is better than a rejection.
-    fn ejected_endpoint(&self) -> Step {
+    /// Selects an ejected endpoint as a last resort: one that still answers some requests is better than a
+    /// rejection.
+    fn ejected_endpoint(&self) -> StepResult {
         let ejected = self.candidates.iter().copied().filter(|endpoint| self.is_usable_ejected(*endpoint));
         let cost = |endpoint: &EndpointKey| {
             let latency = self.admission.predicted_latency(*endpoint, self.request.class(), self.cluster);
             self.ejection_end(*endpoint) + latency
         };
         match ejected.min_by_key(cost) {
-            Some(endpoint) => self.admit(endpoint, REPLICA_OBJECTIVE_FACTOR),
-            None => Step::NoCandidate,
+            Some(endpoint) => self.check_admission(endpoint, REPLICA_OBJECTIVE_FACTOR),
+            None => StepResult::NoCandidate,
         }
     }
 
-    fn admit(&self, endpoint: EndpointKey, objective_factor: f64) -> Step {
+    fn check_admission(&self, endpoint: EndpointKey, objective_factor: f64) -> StepResult {
         if self.admission.admits(self.request, endpoint, objective_factor, self.cluster) {
-            Step::Chosen(endpoint)
+            StepResult::Selected(endpoint)
         } else {
-            Step::NotAdmitted
+            StepResult::NotAdmitted
         }
     }
 
@@ -180,10 +184,10 @@
         self.candidates.iter().copied().filter(|endpoint| Some(*endpoint) != self.primary)
     }
 
-    /// Whether the health and the slow start of an endpoint allow that it gets the read.
+    /// Returns whether the health and the slow start of an endpoint allow the read.
     fn is_available(&self, endpoint: EndpointKey) -> bool {
-        let is_available = self.cluster.is_healthy(endpoint) || self.cluster.is_trial_due(endpoint);
-        is_available && self.slow_start_admits(endpoint)
+        let is_healthy = self.cluster.is_healthy(endpoint) || self.cluster.is_trial_due(endpoint);
+        is_healthy && self.slow_start_admits(endpoint)
     }
 
     fn slow_start_admits(&self, endpoint: EndpointKey) -> bool {
@@ -194,15 +198,16 @@
         freshness::freshness(self.cluster.endpoint(endpoint), self.required, self.cluster)
     }
 
-    /// A local replica that may be fresh gets one read at a time, so that its log position becomes known.
+    /// Returns whether a replica is a candidate of step 1. A local replica that may be fresh gets one read at
+    /// a time, so that its log position becomes known.
     fn is_preferred(&self, replica: EndpointKey) -> bool {
         let is_idle = self.cluster.endpoint(replica).load().in_flight() == 0;
-        let is_recent = match self.freshness(replica) {
+        let qualifies = match self.freshness(replica) {
             Freshness::Fresh => true,
             Freshness::PossiblyFresh => self.cluster.is_local(replica) && is_idle,
             Freshness::Stale => false,
         };
-        is_recent && self.is_available(replica)
+        qualifies && self.is_available(replica)
     }
 
     fn may_be_behind(&self, replica: EndpointKey) -> bool {
@@ -211,26 +216,29 @@
 
     fn choose_preferred_replica(&self) -> Option<EndpointKey> {
         if self.is_long_read() && self.preferred_replicas.iter().any(|replica| self.may_be_behind(*replica)) {
-            return Some(self.choose_most_behind());
+            return Some(self.choose_for_long_read());
         }
-        let all = self.preferred_replicas.iter().copied();
-        let (local, remote): (Vec<_>, Vec<_>) = all.partition(|replica| self.cluster.is_local(*replica));
-        let Some(local_choice) = self.choose_of_two(&local) else { return self.choose_of_two(&remote) };
+        let replicas = self.preferred_replicas.iter().copied();
+        let (local, remote): (Vec<_>, Vec<_>) = replicas.partition(|replica| self.cluster.is_local(*replica));
+        let Some(local_choice) = self.choose_less_loaded(&local) else {
+            return self.choose_less_loaded(&remote);
+        };
         let least_loaded = remote.into_iter().min_by_key(|replica| self.cluster.load(*replica));
-        let remote_choice = least_loaded.filter(|remote| self.should_leave(local_choice, *remote));
+        let remote_choice = least_loaded.filter(|remote| self.should_spill_over(local_choice, *remote));
         Some(remote_choice.unwrap_or(local_choice))
     }
 
-    /// Whether the load of an endpoint is so much higher than that of another that a read goes there instead.
-    fn should_leave(&self, endpoint: EndpointKey, other: EndpointKey) -> bool {
+    /// Returns whether the load of an endpoint is so much higher than that of another one that a read should
+    /// be sent there instead.
+    fn should_spill_over(&self, endpoint: EndpointKey, other: EndpointKey) -> bool {
         let load = self.cluster.load(endpoint);
         let other_load = self.cluster.load(other);
-        load > EXIT_MULTIPLE * other_load && load >= other_load + EXIT_MARGIN
+        load > SPILLOVER_LOAD_FACTOR * other_load && load >= other_load + SPILLOVER_MIN_DIFFERENCE
     }
 
-    /// The less loaded of two random replicas; on a tie, an eventual read leaves the more recent one to
-    /// others.
-    fn choose_of_two(&self, replicas: &[EndpointKey]) -> Option<EndpointKey> {
+    /// Returns the less loaded of two random replicas. On a tie, a read with eventual consistency goes to a
+    /// lagging replica, which leaves the fresher one to reads with stricter requirements.
+    fn choose_less_loaded(&self, replicas: &[EndpointKey]) -> Option<EndpointKey> {
         let pair = self.choices.indices(replicas.len())?.map(|index| replicas[index]);
         let cost = |replica: &EndpointKey| {
             (self.cluster.load(*replica), self.is_eventual() && !self.may_be_behind(*replica))
@@ -242,42 +250,43 @@
         self.cluster.class(self.request.class()).consistency == Consistency::Eventual
     }
 
-    /// Whether it is of a class whose reads take so long that they can block the log of a replica.
+    /// Returns whether reads of this class take so long that they can block the replication of a replica.
     fn is_long_read(&self) -> bool {
         let mean_latency = self.admission.class_latency(self.request.class()).mean();
         self.is_eventual() && mean_latency > self.cluster.shortest_staleness()
     }
 
-    /// Long reads gather on the replica that is most behind, and move from a busy one to the next most
-    /// behind: a replica without load may be catching up.
-    fn choose_most_behind(&self) -> EndpointKey {
+    /// Returns the replica for a long read. Long reads are concentrated on the replica that lags most, and
+    /// spill over from a busy one to the one that lags next most, because a replica without load may be
+    /// catching up.
+    fn choose_for_long_read(&self) -> EndpointKey {
         let mut by_position = self.preferred_replicas.clone();
         by_position.sort_by_key(|replica| self.cluster.endpoint(*replica).replication().log_position());
-        let is_busy = |pair: &[EndpointKey]| self.should_leave(pair[0], pair[1]);
+        let is_busy = |pair: &[EndpointKey]| self.should_spill_over(pair[0], pair[1]);
         let first_not_busy = by_position.windows(2).position(|pair| !is_busy(pair));
         let candidates = &by_position[first_not_busy.unwrap_or(by_position.len() - 1)..];
         let is_admitted = |replica: &&EndpointKey| {
-            matches!(self.admit(**replica, REPLICA_OBJECTIVE_FACTOR), Step::Chosen(_))
+            matches!(self.check_admission(**replica, REPLICA_OBJECTIVE_FACTOR), StepResult::Selected(_))
         };
         let chosen = candidates.iter().take(MAX_CANDIDATES_FOR_LONG_READ).find(is_admitted);
         *chosen.unwrap_or(&candidates[0])
     }
 
-    /// Whether an ejected endpoint may get the read: one that still answers other requests; or one that
-    /// answers none, if there is no healthy one. One that is known to be behind may not.
+    /// Returns whether an ejected endpoint may get the read. It qualifies if it is a replica that still
+    /// answers other requests, or if no endpoint is healthy. A stale replica does not qualify.
     fn is_usable_ejected(&self, endpoint: EndpointKey) -> bool {
         if self.cluster.is_healthy(endpoint) {
             return false;
         }
         let is_primary = Some(endpoint) == self.primary;
-        let is_recent = is_primary || self.freshness(endpoint) != Freshness::Stale;
+        let is_fresh_enough = is_primary || self.freshness(endpoint) != Freshness::Stale;
         let may_answer =
             self.may_be_tried_early(endpoint) || !is_primary && self.has_answered_recently(endpoint);
-        is_recent && may_answer && self.slow_start_admits(endpoint)
+        is_fresh_enough && may_answer && self.slow_start_admits(endpoint)
     }
 
-    /// Whether it has answered a request in the time of the longest ejection, and since its last failure to
-    /// connect.
+    /// Returns whether an endpoint has answered a request within the duration of the longest ejection, and
+    /// since its last connection failure.
     fn has_answered_recently(&self, endpoint: EndpointKey) -> bool {
         let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION;
         let state = self.cluster.endpoint(endpoint);
@@ -285,7 +294,8 @@
         state.last_response_at() > since
     }
 
-    /// Whether an ejected endpoint may be tried before its time, since no endpoint is healthy.
+    /// Returns whether an ejected endpoint may be tried before its ejection ends, because no endpoint is
+    /// healthy.
     fn may_be_tried_early(&self, endpoint: EndpointKey) -> bool {
         let none_is_healthy = !self.candidates.iter().any(|other| self.cluster.is_healthy(*other));
         let health = self.cluster.endpoint(endpoint).health();
--- a/src/policy/slow_start/event_rate.rs
+++ b/src/policy/slow_start/event_rate.rs
@@ -1,25 +1,26 @@
-//! Running estimate of how often something happens.
+//! Estimate of an event rate by an exponentially decaying count.
 
 use crate::time::{LocalInstant, Span};
 
-/// A count of events that decays with time, from which their rate follows.
+/// An exponentially decaying count of events, from which their rate is computed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct EventRate {
     count: f64,
-    /// When counting began; none before the first event.
+    /// Time of the first event.
     started_at: Option<LocalInstant>,
     updated_at: LocalInstant,
 }
 
 impl EventRate {
-    /// Counts an event with this weight. Earlier ones lose theirs within `time_constant`.
+    /// Adds an event with this weight. Earlier events decay exponentially with `time_constant`.
     pub(crate) fn record(&mut self, weight: f64, now: LocalInstant, time_constant: Span) {
         self.count = self.decayed_count(now, time_constant) + weight;
         self.started_at.get_or_insert(now);
         self.updated_at = now;
     }
 
-    /// Events per second over about `time_constant`, or since counting began; 0 at first.
+    /// Returns the events per second, averaged over about `time_constant`, or over the time since the first
+    /// event if that is shorter. Returns 0 before the first event.
     pub(crate) fn per_second(&self, now: LocalInstant, time_constant: Span) -> f64 {
         let Some(started_at) = self.started_at else { return 0.0 };
         let covered = time_constant.as_secs() * (1.0 - (-((now - started_at) / time_constant)).exp());
--- a/src/policy/slow_start/event_rate/tests.rs
+++ b/src/policy/slow_start/event_rate/tests.rs
@@ -3,14 +3,14 @@
 
 const TIME_CONSTANT: Span = secs(2.0);
 
-/// Counts an event every `interval` seconds from `start` until `end`.
+/// Records an event every `interval` seconds from `start` until `end`.
 fn record_evenly(rate: &mut EventRate, interval: f64, start: f64, end: f64) {
     let count = ((end - start) / interval).round() as u32;
     (0..count).for_each(|index| rate.record(1.0, at(start + f64::from(index) * interval), TIME_CONSTANT));
 }
 
 #[test]
-fn a_rate_is_right_from_the_start_and_follows_a_change_within_its_time() {
+fn a_rate_is_accurate_from_the_start_and_follows_a_change_within_its_time_constant() {
     let mut rate = EventRate::default();
     assert_eq!(rate.per_second(at(100.0), TIME_CONSTANT), 0.0);
     record_evenly(&mut rate, 0.01, 100.0, 100.5);
