--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -1,15 +1,17 @@
-//! Failover: the election of a group's primary, the search for a lost one, and the requests that wait for it.
+//! Failover: tracks the primary of each group, searches for a lost one, and dispatches the requests that were
+//! queued meanwhile.
 
 use crate::interface::{Action, StateChange};
 use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
 use crate::policy::primary::{self, search};
 use crate::policy::Policy;
 
-/// A group counts as in use for this time after a request for it, in multiples of the connect timeout.
-const GROUP_IN_USE_FOR: f64 = MAX_EJECTION;
+/// A group without requests for this time counts as idle, in multiples of the connect timeout. The log
+/// positions of idle groups are not refreshed.
+const GROUP_IDLE_TIMEOUT: f64 = MAX_EJECTION;
 
 impl Policy {
-    /// Makes the endpoint with the newest claim the group's primary, and dispatches queued requests.
+    /// Sets the primary of a group to the endpoint with the newest claim, and dispatches queued requests.
     pub(crate) fn update_primary(&mut self, group_id: u32) {
         let Some(group) = self.cluster.group(group_id) else { return };
         let primary = primary::newest_claimant(group, &self.cluster);
@@ -29,44 +31,45 @@
     fn dispatch_queued(&mut self, group_id: u32) {
         let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) else { return };
         let primary = group.primary();
-        let mut waiting = Vec::new();
+        let mut still_queued = Vec::new();
         for key in group.take_queue() {
             let Some(request) = self.requests.unfinished_mut(key) else { continue };
             if primary::must_stay_queued(request, primary, &self.cluster) {
-                waiting.push(key);
+                still_queued.push(key);
             } else {
                 request.leave_queue();
                 self.dispatch(key);
             }
         }
         if let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) {
-            group.requeue(waiting);
+            group.requeue(still_queued);
         }
     }
 
-    /// Continues the search for a group's primary, and refreshes the log positions of its replicas.
-    pub(crate) fn search_primary(&mut self, group_id: u32) {
+    /// Takes the next step of the search for a lost primary if one is due, and refreshes the log positions of
+    /// the replicas of the group.
+    pub(crate) fn continue_primary_search(&mut self, group_id: u32) {
         let now = self.cluster.now();
         let connect_timeout = self.cluster.settings().connect_timeout;
         let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) else { return };
         let is_due = group.search_mut().step_if_due(now, connect_timeout, &mut self.rng);
         let is_searching = is_due && !group.queue().is_empty();
         if self.cluster.settings().health_checks {
-            self.check_group(group_id, is_searching);
+            self.send_health_checks(group_id, is_searching);
         } else if is_searching {
             self.send_discovery_write(group_id);
         }
     }
 
-    /// Sends health checks to the endpoints of a group: to all in search of the primary, otherwise where a
-    /// log position has to be refreshed.
-    fn check_group(&mut self, group_id: u32, is_searching: bool) {
+    /// Sends health checks to the endpoints of a group: to all of them during the search for its primary,
+    /// otherwise only to those whose log position has to be refreshed.
+    fn send_health_checks(&mut self, group_id: u32, is_searching: bool) {
         let Some(group) = self.cluster.group(group_id) else { return };
-        let in_use_for = self.cluster.settings().connect_timeout * GROUP_IN_USE_FOR;
-        let is_in_use = self.cluster.now() - group.last_request_at() < in_use_for;
+        let idle_timeout = self.cluster.settings().connect_timeout * GROUP_IDLE_TIMEOUT;
+        let is_active = self.cluster.now() - group.last_request_at() < idle_timeout;
         for &endpoint in group.members() {
             let is_due =
-                is_searching || is_in_use && self.health_checks.is_refresh_due(endpoint, &self.cluster);
+                is_searching || is_active && self.health_checks.is_refresh_due(endpoint, &self.cluster);
             if is_due && self.health_checks.try_start(endpoint, &self.cluster) {
                 let endpoint = self.cluster.endpoint(endpoint).id().clone();
                 self.actions.push(Action::HealthCheck { endpoint });
--- a/src/policy/housekeeping.rs
+++ b/src/policy/housekeeping.rs
@@ -1,4 +1,4 @@
-//! The housekeeping timer: it handles what no event announces, such as overdue attempts.
+//! The housekeeping timer, which triggers the periodic work of the policy.
 
 use fastrand::Rng;
 
@@ -6,22 +6,21 @@
 use crate::settings::Settings;
 use crate::time::{LocalInstant, Span};
 
-/// Interval as a share of the shortest latency objective, which leaves time for a retry ...
+/// Interval as a share of the shortest latency objective, so that a retry of an overdue attempt still falls
+/// within the objective.
 const OBJECTIVE_SHARE: f64 = 0.1;
-/// ... within these limits.
 const MIN_INTERVAL: Span = Span::from_secs(0.01);
 const MAX_INTERVAL: Span = Span::from_secs(0.1);
-/// Stands for the shortest latency objective where that is longer.
+/// Upper limit of the shortest latency objective.
 const MAX_SHORTEST_OBJECTIVE: Span = Span::from_secs(1.0);
 
-/// The timer of the housekeeping.
+/// State of the housekeeping timer.
 pub(crate) struct Housekeeping {
     interval: Span,
     is_scheduled: bool,
 }
 
 impl Housekeeping {
-    /// A timer that is not set yet.
     pub(crate) fn new(settings: &Settings) -> Housekeeping {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let shortest = objectives.fold(MAX_SHORTEST_OBJECTIVE, Span::min);
@@ -29,7 +28,7 @@
         Housekeeping { interval, is_scheduled: false }
     }
 
-    /// When the timer is to expire, unless it is set.
+    /// Returns the time for which the timer has to be set, or `None` if it is already set.
     pub(crate) fn schedule(&mut self, now: LocalInstant, rng: &mut Rng) -> Option<LocalInstant> {
         if std::mem::replace(&mut self.is_scheduled, true) {
             return None;
@@ -37,8 +36,8 @@
         Some(now + Jitter::WIDE.apply(self.interval, rng))
     }
 
-    /// Notes that the timer has expired.
-    pub(crate) fn expired(&mut self) {
+    /// Records that the timer has expired, so that it can be scheduled again.
+    pub(crate) fn timer_expired(&mut self) {
         self.is_scheduled = false;
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,26 +1,26 @@
-//! Every decision of the pooler. Its events and actions are in `src/interface`.
+//! The decision logic of the pooler, without any I/O. Its events and actions are in `src/interface`.
 //!
-//! [`Policy`] takes an event, calls the subjects that it concerns, in order, and returns actions. Each
-//! subject is a module that owns its state and its rules:
+//! [`Policy`] dispatches each event to the modules that it concerns and returns the resulting actions. Each
+//! module owns the state and the rules of one area:
 //!
-//! | Subject | Module |
+//! | Area | Module |
 //! |---|---|
-//! | The way of a request | [`dispatch`] |
-//! | May a request be sent again, and until when? | [`retry`] |
-//! | Which final answer does it get, and why? | [`give_up`] |
-//! | Which endpoint gets a read? | [`read_routing`] |
-//! | Is a replica recent enough? | [`freshness`] |
-//! | Can an endpoint answer in time? | [`admission`] |
-//! | What may an endpoint get that is warming up? | [`slow_start`] |
-//! | Which endpoint is the primary? | [`primary`], [`failover`] |
-//! | What does an outcome show of its endpoint? | [`endpoint::evidence`] |
-//! | Which endpoints are ejected? | [`endpoint::outlier_detection`], [`health`] |
-//! | Which attempts take too long? | [`overdue`] |
-//! | What does a session have to see? | [`session`] |
-//! | When is the endpoint list called for? | [`watch`] |
+//! | Request life cycle | [`dispatch`] |
+//! | Whether and until when a request may be retried | [`retry`] |
+//! | The final answer of a request that is given up | [`give_up`] |
+//! | Routing of reads | [`read_routing`] |
+//! | Freshness of replicas | [`freshness`] |
+//! | Admission control: whether an endpoint can answer in time | [`admission`] |
+//! | Traffic limits of endpoints that are warming up | [`slow_start`] |
+//! | Primary of each group, and failover | [`primary`], [`failover`] |
+//! | What the outcome of an attempt shows about its endpoint | [`endpoint::evidence`] |
+//! | Ejection of endpoints | [`endpoint::outlier_detection`], [`health`] |
+//! | Attempts that take too long | [`overdue`] |
+//! | Session consistency | [`session`] |
+//! | Watch of the endpoint list | [`watch`] |
 //!
-//! The rest holds what these share: [`cluster`] with endpoints, groups and clocks, the pending requests, and
-//! estimates.
+//! The other modules hold shared state and helpers: [`cluster`] with endpoints, groups and clocks, the table
+//! of pending requests, token buckets and random choices.
 
 mod admission;
 mod cluster;
@@ -60,24 +60,24 @@
 use slow_start::SlowStart;
 use watch::{Watch, WatchChange};
 
-/// Cookie of the housekeeping timer; requests use their own key, from 1.
+/// Cookie of the housekeeping timer. The timers of a request use its key, and keys start at 1.
 const HOUSEKEEPING_COOKIE: u64 = 0;
-/// A removed endpoint is forgotten after this multiple of the watch gap, far beyond every deadline.
-const FORGET_AFTER_WATCH_GAPS: f64 = 3.0;
+/// How long removed endpoints are kept, in multiples of the longest watch gap: far longer than any deadline.
+const REMOVED_ENDPOINT_RETENTION: f64 = 3.0;
 
-/// Why a request is not sent now.
+/// Why a request cannot be routed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoRoute {
-    /// It waits in the queue of its group.
+    /// The request has to wait in the queue of its group.
     Queue,
-    /// It is given up.
+    /// The request has to be given up.
     GiveUp(GiveUpReason),
 }
 
-/// Where a request is sent, or why it is not.
+/// The endpoint that a request is sent to, or the reason why it cannot be sent now.
 pub(crate) type Route = Result<EndpointKey, NoRoute>;
 
-/// Decides where each request of one pooler goes.
+/// The routing policy of one pooler: a deterministic state machine that turns events into actions.
 pub struct Policy {
     cluster: Cluster,
     requests: RequestTable,
@@ -90,16 +90,16 @@
     connection_shortage: ConnectionShortage,
     housekeeping: Housekeeping,
     rng: Rng,
-    /// What is to be done about the present event.
+    /// Actions that result from the current event.
     actions: Vec<Action>,
 }
 
 impl Policy {
-    /// A policy with these settings; all its randomness comes from the seed.
+    /// Creates a policy. All its random choices derive from `seed`.
     ///
     /// # Errors
     ///
-    /// Returns the first setting that is out of its range.
+    /// Returns an error for the first setting that is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Policy, SettingsError> {
         validate(&settings)?;
         Ok(Policy {
@@ -133,7 +133,7 @@
                 self.requests.finish_by_id(&id);
             }
             Event::ShutdownImminent { id } => self.request_cut_off(&id),
-            Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
+            Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.run_housekeeping(),
             Event::Timer { cookie } => self.request_timer_expired(cookie),
         }
         self.schedule_housekeeping();
@@ -146,27 +146,28 @@
         }
     }
 
-    /// Handles what no event announces: overdue attempts, queued requests, lost primaries and the watch.
-    fn housekeep(&mut self) {
-        self.housekeeping.expired();
+    /// Does the periodic work that no event triggers: restarts the watch, handles overdue attempts, removes
+    /// expired state, searches for lost primaries and dispatches queued requests.
+    fn run_housekeeping(&mut self) {
+        self.housekeeping.timer_expired();
         let now = self.cluster.now();
-        if self.watch.call_if_due(self.cluster.settings(), now) {
+        if self.watch.start_if_due(self.cluster.settings(), now) {
             self.actions.push(Action::Watch);
         }
         self.handle_overdue_attempts();
         self.cluster.endpoints_mut().forget_empty_groups();
         self.slow_start.forget_groups(&self.cluster);
-        let horizon = now - self.cluster.settings().max_watch_gap * FORGET_AFTER_WATCH_GAPS;
+        let horizon = now - self.cluster.settings().max_watch_gap * REMOVED_ENDPOINT_RETENTION;
         for group in self.cluster.endpoints().group_ids() {
             self.cluster.endpoints_mut().forget_removed(group, horizon);
-            self.search_primary(group);
+            self.continue_primary_search(group);
             self.update_primary(group);
         }
     }
 
     fn watch_failed(&mut self) {
         let now = self.cluster.now();
-        let change = self.watch.failed(self.cluster.settings(), now, &mut self.rng);
+        let change = self.watch.record_failure(self.cluster.settings(), now, &mut self.rng);
         if change == WatchChange::Changed {
             self.actions.push(Action::Log(StateChange::WatchLost));
         }
@@ -174,9 +175,9 @@
 
     fn endpoints_updated(&mut self, kind: UpdateKind, entries: &[Endpoint]) {
         if kind == UpdateKind::Cached {
-            // After a restart no writes are remembered: any session may have written until now.
+            // Session writes are not persisted: after a restart, any session may have written until now.
             self.sessions.assume_writes_until(self.cluster.now());
-        } else if self.watch.succeeded() == WatchChange::Changed {
+        } else if self.watch.record_update() == WatchChange::Changed {
             self.actions.push(Action::Log(StateChange::WatchRestored));
         }
         let started = self.cluster.apply(kind, entries);
@@ -191,12 +192,12 @@
         }
     }
 
-    /// How many endpoints are kept in memory, those that were removed recently included.
+    /// Number of endpoints kept in memory, including recently removed ones.
     pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slots()
     }
 
-    /// How many groups are kept in memory.
+    /// Number of groups kept in memory.
     pub fn group_count(&self) -> usize {
         self.cluster.endpoints().group_count()
     }
