--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -142,7 +142,7 @@
     }
 
     /// The time that it probably is on the endpoints' clock at `now`.
-    pub(crate) fn likely(&self, now: LocalInstant) -> ClusterInstant {
+    pub(crate) fn estimate(&self, now: LocalInstant) -> ClusterInstant {
         now.to_cluster(self.likely_offset(now))
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Whether a log position may have been reached by `now`.
-    pub(crate) fn is_credible(&self, position: LogPosition, now: LocalInstant) -> bool {
+    pub(crate) fn is_plausible(&self, position: LogPosition, now: LocalInstant) -> bool {
         let greatest = self.known_max_offset(now).unwrap_or_default();
         position.as_secs().is_finite() && position <= now.to_cluster(greatest) + POSITION_ROUNDING
     }
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -2,13 +2,13 @@
 //! queued meanwhile.
 
 use crate::interface::{Action, StateChange};
-use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
+use crate::policy::endpoint::outlier_detection::MAX_EJECTION_TIME;
 use crate::policy::primary::{self, search};
 use crate::policy::Policy;
 
 /// A group without requests for this time counts as idle, in multiples of the connect timeout. The log
 /// positions of idle groups are not refreshed.
-const GROUP_IDLE_TIMEOUT: f64 = MAX_EJECTION;
+const GROUP_IDLE_TIMEOUT: f64 = MAX_EJECTION_TIME;
 
 impl Policy {
     /// Sets the primary of a group to the endpoint with the newest claim, and dispatches queued requests.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -56,7 +56,7 @@
 use primary::health_checks::HealthChecks;
 use request::RequestTable;
 use retry::RetryBudget;
-use session::Sessions;
+use session::SessionTracker;
 use slow_start::SlowStart;
 use watch::{Watch, WatchChange};
 
@@ -85,7 +85,7 @@
     slow_start: SlowStart,
     retry_budget: RetryBudget,
     health_checks: HealthChecks,
-    sessions: Sessions,
+    sessions: SessionTracker,
     watch: Watch,
     connection_shortage: ConnectionShortage,
     housekeeping: Housekeeping,
@@ -108,7 +108,7 @@
             slow_start: SlowStart::new(),
             retry_budget: RetryBudget::new(),
             health_checks: HealthChecks::new(),
-            sessions: Sessions::default(),
+            sessions: SessionTracker::default(),
             watch: Watch::default(),
             connection_shortage: ConnectionShortage::default(),
             housekeeping: Housekeeping::new(&settings),
@@ -123,18 +123,18 @@
         self.cluster.advance_to(now);
         match event {
             Event::WatchFailed => self.watch_failed(),
-            Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
+            Event::EndpointsUpdated { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
-            Event::HealthChecked { endpoint, outcome, report } => {
+            Event::HealthCheckFinished { endpoint, outcome, report } => {
                 self.health_checked(&endpoint, outcome, &report);
             }
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
             }
-            Event::ShutdownImminent { id } => self.request_cut_off(&id),
-            Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.run_housekeeping(),
-            Event::Timer { cookie } => self.request_timer_expired(cookie),
+            Event::ShutdownImminent { id } => self.shutdown_imminent(&id),
+            Event::TimerExpired { cookie: HOUSEKEEPING_COOKIE } => self.run_housekeeping(),
+            Event::TimerExpired { cookie } => self.request_timer_expired(cookie),
         }
         self.schedule_housekeeping();
         actions.append(&mut self.actions);
@@ -155,11 +155,11 @@
             self.actions.push(Action::Watch);
         }
         self.handle_overdue_attempts();
-        self.cluster.endpoints_mut().forget_empty_groups();
+        self.cluster.endpoints_mut().remove_empty_groups();
         self.slow_start.forget_groups(&self.cluster);
         let horizon = now - self.cluster.settings().max_watch_gap * REMOVED_ENDPOINT_RETENTION;
         for group in self.cluster.endpoints().group_ids() {
-            self.cluster.endpoints_mut().forget_removed(group, horizon);
+            self.cluster.endpoints_mut().purge_removed(group, horizon);
             self.continue_primary_search(group);
             self.update_primary(group);
         }
@@ -180,7 +180,7 @@
         } else if self.watch.record_update() == WatchChange::Changed {
             self.actions.push(Action::Log(StateChange::WatchRestored));
         }
-        let started = self.cluster.apply(kind, entries);
+        let started = self.cluster.apply_list_update(kind, entries);
         for &endpoint in &started.added {
             self.health_checks.endpoint_added(endpoint);
         }
@@ -194,7 +194,7 @@
 
     /// Number of endpoints kept in memory, including recently removed ones.
     pub fn endpoint_count(&self) -> usize {
-        self.cluster.endpoints().slots()
+        self.cluster.endpoints().slot_count()
     }
 
     /// Number of groups kept in memory.
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -42,7 +42,7 @@
 ) -> bool {
     let in_flight = |endpoint: EndpointKey| cluster.endpoint(endpoint).load().in_flight();
     let is_busy = primary.is_some_and(|primary| in_flight(primary) >= MAX_IN_FLIGHT_WHEN_DEQUEUING);
-    is_busy && request.terms().objective_at > cluster.now()
+    is_busy && request.context().objective_expires_at > cluster.now()
 }
 
 /// Routes a request that only the primary can take. An ejected primary gets it if a trial is due. The request
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -20,7 +20,7 @@
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey};
-use crate::policy::endpoint::outlier_detection::MAX_EJECTION;
+use crate::policy::endpoint::outlier_detection::MAX_EJECTION_TIME;
 use crate::policy::freshness::{self, Freshness, RequiredPosition};
 use crate::policy::give_up::GiveUpReason;
 use crate::policy::random::TwoChoices;
@@ -89,7 +89,11 @@
             cluster,
             admission,
             slow_start,
-            required: RequiredPosition::of(consistency, request.terms().session_token, cluster),
+            required: RequiredPosition::for_consistency(
+                consistency,
+                request.context().session_token,
+                cluster,
+            ),
             slow_start_share: slow_start.read_share(group, cluster),
             choices,
             primary: group.primary(),
@@ -253,7 +257,7 @@
     /// Returns whether reads of this class take so long that they can block the replication of a replica.
     fn is_long_read(&self) -> bool {
         let mean_latency = self.admission.class_latency(self.request.class()).mean();
-        self.is_eventual() && mean_latency > self.cluster.shortest_staleness()
+        self.is_eventual() && mean_latency > self.cluster.shortest_staleness_bound()
     }
 
     /// Returns the replica for a long read. Long reads are concentrated on the replica that lags most, and
@@ -288,7 +292,7 @@
     /// Returns whether an endpoint has answered a request within the duration of the longest ejection, and
     /// since its last connection failure.
     fn has_answered_recently(&self, endpoint: EndpointKey) -> bool {
-        let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION;
+        let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION_TIME;
         let state = self.cluster.endpoint(endpoint);
         let since = Some(self.cluster.now() - longest_ejection).max(state.health().connect_failed_at());
         state.last_response_at() > since
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -5,15 +5,15 @@
 /// A request of this class for group 0, received at 0 s, with an objective at 0.5 s and a deadline at 1 s.
 pub(crate) fn pending(id: &str, class: usize) -> PendingRequest {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
-    let terms = RequestTerms {
-        objective_at: at(0.5),
+    let context = RequestContext {
+        objective_expires_at: at(0.5),
         deadline: at(1.0),
         queue_until: at(0.5),
         session_token: RequiredPosition::Any,
-        quota_use: QuotaUse::Within,
-        sampling_draw: 0.0,
+        quota_status: QuotaStatus::Within,
+        sampling_value: 0.0,
     };
-    PendingRequest::new(request, terms)
+    PendingRequest::new(request, context)
 }
 
 #[test]
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -135,7 +135,7 @@
         share: f64,
         cluster: &Cluster,
     ) -> bool {
-        let is_sampled = request.terms().sampling_draw < share && !request.has_tried(to);
+        let is_sampled = request.context().sampling_value < share && !request.has_tried(to);
         is_sampled && self.budget(to, cluster).has_token()
     }
 
@@ -192,7 +192,7 @@
 /// Returns the present capacity of an endpoint, as a share of its full capacity.
 fn capacity(endpoint: EndpointKey, cluster: &Cluster) -> f64 {
     let uptime = cluster.endpoint(endpoint).listing().min_uptime(cluster.clock(), cluster.now());
-    uptime.map_or(1.0, |uptime| cluster.settings().capacity_after(uptime))
+    uptime.map_or(1.0, |uptime| cluster.settings().capacity_at_uptime(uptime))
 }
 
 fn group_capacity(group: &Group, cluster: &Cluster) -> f64 {
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -196,7 +196,7 @@
 
     /// Delivers an update of the endpoint list.
     pub fn update_endpoints(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) -> Vec<Action> {
-        self.handle(Event::Endpoints { kind, endpoints })
+        self.handle(Event::EndpointsUpdated { kind, endpoints })
     }
 
     /// Advances the clock, delivers the timers that expire meanwhile and returns the actions that follow.
@@ -205,7 +205,7 @@
         let first_action = self.actions.len();
         while let Some((at, cookie)) = self.take_timer_until(end) {
             self.now = self.now.max(at);
-            self.handle(Event::Timer { cookie });
+            self.handle(Event::TimerExpired { cookie });
         }
         self.now = end;
         self.actions[first_action..].to_vec()
@@ -259,7 +259,7 @@
     /// Ends a health check whose report is empty.
     pub fn finish_health_check(&mut self, endpoint: &str, outcome: Outcome) -> Vec<Action> {
         let report = LoadReport::default();
-        self.handle(Event::HealthChecked { endpoint: endpoint.into(), outcome, report })
+        self.handle(Event::HealthCheckFinished { endpoint: endpoint.into(), outcome, report })
     }
 
     /// A replica reports the log position that it has applied.
@@ -268,7 +268,11 @@
             log_position: Some(LogPosition::from_secs(log_position)),
             role: Some(Role::Replica),
         };
-        self.handle(Event::HealthChecked { endpoint: endpoint.into(), outcome: Outcome::Success, report });
+        self.handle(Event::HealthCheckFinished {
+            endpoint: endpoint.into(),
+            outcome: Outcome::Success,
+            report,
+        });
     }
 
     /// A replica reports that it has applied everything up to now.
