--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -156,7 +156,7 @@
         }
         self.handle_overdue_attempts();
         self.cluster.endpoints_mut().remove_empty_groups();
-        self.slow_start.forget_groups(&self.cluster);
+        self.slow_start.remove_unknown_groups(&self.cluster);
         let horizon = now - self.cluster.settings().max_watch_gap * REMOVED_ENDPOINT_RETENTION;
         for group in self.cluster.endpoints().group_ids() {
             self.cluster.endpoints_mut().purge_removed(group, horizon);
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -90,7 +90,7 @@
     }
 
     /// Removes the traffic statistics of groups that no longer exist.
-    pub(crate) fn forget_groups(&mut self, cluster: &Cluster) {
+    pub(crate) fn remove_unknown_groups(&mut self, cluster: &Cluster) {
         self.traffic.retain(|group, _| cluster.group(*group).is_some());
     }
 
