--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -15,7 +15,7 @@
 /// Share of its time that a request may wait unsent, which leaves its client time to retry elsewhere.
 const QUEUE_TIME_SHARE: f64 = 0.5;
 /// A timer that expires at most so many ticks before the deadline is the one for the final answer.
-const FINAL_TIMER_TICKS: f64 = 2.0;
+const FINAL_TIMER_TOLERANCE_TICKS: f64 = 2.0;
 
 impl Policy {
     /// Takes in a request and sends it, queues it or gives it up.
@@ -24,20 +24,20 @@
             self.actions.push(Action::Reject { id: request.id, retry_after: None });
             return;
         }
-        self.count_request(&request);
+        self.record_request(&request);
         let now = self.cluster.now();
         let context = self.context_of(&request);
-        let queue_until = context.queue_until;
+        let queue_deadline = context.queue_deadline;
         let final_answer_at = (context.deadline - self.cluster.settings().tick).max(now);
         let key = self.requests.insert(PendingRequest::new(request, context));
-        self.actions.push(Action::SetTimer { at: queue_until, cookie: key });
+        self.actions.push(Action::SetTimer { at: queue_deadline, cookie: key });
         // This timer guarantees a final answer just before the deadline.
         self.actions.push(Action::SetTimer { at: final_answer_at, cookie: key });
         self.dispatch(key);
     }
 
     /// Counts a request towards the traffic of its group, and lets it earn retries and health checks.
-    fn count_request(&mut self, request: &Request) {
+    fn record_request(&mut self, request: &Request) {
         let now = self.cluster.now();
         let needs_primary = self.cluster.class(request.class).needs_primary();
         self.retry_budget.deposit();
@@ -59,7 +59,7 @@
         RequestContext {
             objective_expires_at: now + objective.min(time_left),
             deadline: now + time_left,
-            queue_until: now + queue_time.max(Span::ZERO),
+            queue_deadline: now + queue_time.max(Span::ZERO),
             session_token: self.sessions.token(request, &self.requests, &self.cluster),
             quota_status: self.admission.charge_quota(request.tenant, now),
             sampling_value: self.rng.f64(),
@@ -69,11 +69,11 @@
     /// Ends a request whose queue time or deadline is over. Each request has a timer for both.
     pub(crate) fn request_timer_expired(&mut self, key: RequestKey) {
         let Some(request) = self.requests.unfinished_mut(key) else { return };
-        let final_timer_time = FINAL_TIMER_TICKS * self.cluster.settings().tick;
-        if self.cluster.now() + final_timer_time >= request.context().deadline {
-            self.give_up(key, GiveUpReason::Deadline);
+        let final_timer_tolerance = FINAL_TIMER_TOLERANCE_TICKS * self.cluster.settings().tick;
+        if self.cluster.now() + final_timer_tolerance >= request.context().deadline {
+            self.give_up(key, GiveUpReason::DeadlineReached);
         } else if request.has_reached_no_endpoint() {
-            self.give_up(key, GiveUpReason::QueueTimeOver);
+            self.give_up(key, GiveUpReason::QueueTimeout);
         }
     }
 
@@ -91,11 +91,11 @@
         if let Err(reason) = retry::check_dispatch(request, &self.cluster) {
             return self.give_up(key, reason);
         }
-        let has_waited =
-            self.cluster.now() >= request.context().queue_until && request.has_reached_no_endpoint();
+        let is_queue_time_over =
+            self.cluster.now() >= request.context().queue_deadline && request.has_reached_no_endpoint();
         match self.route(key) {
             Ok(endpoint) => self.send(key, endpoint),
-            Err(NoRoute::Queue) if has_waited => self.give_up(key, GiveUpReason::QueueTimeOver),
+            Err(NoRoute::Queue) if is_queue_time_over => self.give_up(key, GiveUpReason::QueueTimeout),
             Err(NoRoute::Queue) => self.enqueue(key),
             Err(NoRoute::GiveUp(reason)) => self.give_up(key, reason),
         }
@@ -158,7 +158,7 @@
             self.record_outcome(&ended, result);
             self.close_idle_connections(endpoint);
             if let Some(request) = self.requests.get(ended.key) {
-                self.sessions.remember_write(request, result, &self.cluster);
+                self.sessions.record_write(request, result, &self.cluster);
             }
             self.finish_or_retry(ended.key, endpoint, result);
         }
@@ -218,12 +218,12 @@
     /// Counts the silence of endpoints as failures, and replaces attempts that take too long.
     pub(crate) fn handle_overdue_attempts(&mut self) {
         for overdue in overdue::overdue_attempts(&self.requests, &self.admission, &self.cluster) {
-            if overdue.delay.is_endpoint_silent {
+            if overdue.cause.is_endpoint_silent {
                 self.record_silence(overdue.endpoint, overdue.late_attempts);
             }
             let Some(request) = self.requests.unfinished_mut(overdue.request) else { continue };
             if let Some(attempt) = request.attempt_mut(overdue.number) {
-                if overdue.delay.is_endpoint_silent {
+                if overdue.cause.is_endpoint_silent {
                     attempt.count_silence();
                 }
             }
@@ -235,8 +235,8 @@
     fn replace_attempt(&mut self, overdue: &OverdueAttempt) {
         let Some(request) = self.requests.get_mut(overdue.request) else { return };
         let latency = self.admission.latency(request.class());
-        let OverdueAttempt { number, delay, .. } = *overdue;
-        match retry::replacement(request, number, delay, latency, &self.retry_budget, &self.cluster) {
+        let OverdueAttempt { number, cause, .. } = *overdue;
+        match retry::replacement(request, number, cause, latency, &self.retry_budget, &self.cluster) {
             Some(Replacement::Hedge) => self.hedge(overdue),
             Some(Replacement::CancelAndRetry) => {
                 if let Some(attempt) = request.attempt_mut(number) {
--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -1,6 +1,6 @@
 //! Giving up: why a request is not sent any further, and which final answer it gets.
 //!
-//! A request is rejected where a retry by its client is harmless ([`retry::may_client_retry`]), with a
+//! A request is rejected where a retry by its client is harmless ([`retry::is_client_retry_safe`]), with a
 //! Retry-After if the settings allow one. Otherwise it fails: it may have been executed. The reason is
 //! named at each place that gives up; it stands in no log line and in no counter, but for load shedding.
 //!
@@ -13,7 +13,7 @@
 use crate::policy::cluster::Cluster;
 use crate::policy::random::Jitter;
 use crate::policy::request::PendingRequest;
-use crate::policy::retry::{self, NoAttempt};
+use crate::policy::retry::{self, AttemptDenied};
 use crate::settings::RequestClass;
 use crate::time::Span;
 
@@ -24,15 +24,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GiveUpReason {
     /// It has waited for its group's primary as long as it may.
-    QueueTimeOver,
+    QueueTimeout,
     /// Its deadline is reached.
-    Deadline,
+    DeadlineReached,
     /// An answer would come after the latency objective, and its class gives no weight to that.
-    NoUsefulAnswer,
+    AnswerTooLate,
     /// It may not have another attempt.
-    NoAttempt(NoAttempt),
+    AttemptDenied(AttemptDenied),
     /// It may have been executed, and the retry budget is used up.
-    NoRetryBudget,
+    RetryBudgetExhausted,
     /// The primary has rejected it as overloaded, and would reject a retry too.
     PrimaryOverloaded,
     /// No endpoint is predicted to answer it in time.
@@ -54,7 +54,7 @@
 pub(crate) fn final_answer(request: &PendingRequest, cluster: &Cluster, rng: &mut Rng) -> Action {
     let id = request.id().clone();
     let class = cluster.class(request.class());
-    if !retry::may_client_retry(request, class) {
+    if !retry::is_client_retry_safe(request, class) {
         return Action::Fail { id };
     }
     let settings = cluster.settings();
--- a/src/policy/give_up/tests.rs
+++ b/src/policy/give_up/tests.rs
@@ -58,5 +58,5 @@
 #[test]
 fn a_lack_of_capacity_or_of_endpoints_counts_as_load_shedding() {
     assert!(GiveUpReason::NoCapacity.is_load_shedding() && GiveUpReason::NoEndpoint.is_load_shedding());
-    assert!(!GiveUpReason::QueueTimeOver.is_load_shedding() && !GiveUpReason::Shutdown.is_load_shedding());
+    assert!(!GiveUpReason::QueueTimeout.is_load_shedding() && !GiveUpReason::Shutdown.is_load_shedding());
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -15,7 +15,7 @@
 
 /// What an attempt that takes too long shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Delay {
+pub(crate) struct OverdueCause {
     /// The endpoint has answered nothing since the attempt was sent.
     pub(crate) is_endpoint_silent: bool,
     /// The endpoint has long answered later attempts: this answer is lost.
@@ -32,7 +32,7 @@
     /// Where it was sent.
     pub(crate) endpoint: EndpointKey,
     /// What the delay shows.
-    pub(crate) delay: Delay,
+    pub(crate) cause: OverdueCause,
     /// How many attempts at its endpoint are late of those sent since its last answer.
     pub(crate) late_attempts: u32,
 }
@@ -45,11 +45,11 @@
 ) -> Vec<OverdueAttempt> {
     let late_attempts = count_late_attempts(requests, admission, cluster);
     let overdue = requests.attempts_in_flight().filter_map(|in_flight| {
-        let delay = delay_of(&in_flight, admission, cluster)?;
+        let cause = overdue_cause(&in_flight, admission, cluster)?;
         let AttemptInFlight { key, number, attempt, .. } = in_flight;
         let endpoint = attempt.endpoint();
         let late_attempts = late_attempts[endpoint];
-        Some(OverdueAttempt { request: key, number, endpoint, delay, late_attempts })
+        Some(OverdueAttempt { request: key, number, endpoint, cause, late_attempts })
     });
     overdue.collect()
 }
@@ -64,7 +64,11 @@
     })
 }
 
-fn delay_of(in_flight: &AttemptInFlight, admission: &Admission, cluster: &Cluster) -> Option<Delay> {
+fn overdue_cause(
+    in_flight: &AttemptInFlight,
+    admission: &Admission,
+    cluster: &Cluster,
+) -> Option<OverdueCause> {
     let AttemptInFlight { request, attempt, .. } = in_flight;
     let class = cluster.class(request.class());
     let latency = admission.latency(request.class());
@@ -78,9 +82,9 @@
     // Only writes: the latency of reads varies too much to tell a lost answer from a slow one.
     let may_be_lost = class.idempotency == Idempotency::IdempotencyKey;
     let served_sent_at = endpoint.latest_served_sent_at();
-    let is_passed_over = served_sent_at.is_some_and(|sent_at| sent_at - attempt.sent_at() > silent_after);
-    Some(Delay {
+    let is_overtaken = served_sent_at.is_some_and(|sent_at| sent_at - attempt.sent_at() > silent_after);
+    Some(OverdueCause {
         is_endpoint_silent: age > silent_after && endpoint.is_silent_since(attempt.sent_at()),
-        is_answer_lost: age > silent_after && may_be_lost && is_passed_over,
+        is_answer_lost: age > silent_after && may_be_lost && is_overtaken,
     })
 }
--- a/src/policy/request/attempt.rs
+++ b/src/policy/request/attempt.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
     /// It is in flight.
-    Waiting,
+    InFlight,
     /// It is in flight, and the silence of its endpoint has been counted as a failure.
     SilenceCounted,
     /// It was cancelled; its end may still be due.
@@ -18,7 +18,7 @@
     /// It ended and never reached its endpoint.
     NotSent,
     /// It ended, and it is not known whether it was executed.
-    MayHaveRun,
+    PossiblyExecuted,
     /// It ended with an answer that says whether it was executed.
     Answered,
 }
@@ -34,7 +34,7 @@
 impl Attempt {
     /// An attempt that has just been sent.
     pub(crate) fn new(endpoint: EndpointKey, sent_at: LocalInstant) -> Attempt {
-        Attempt { endpoint, sent_at, state: AttemptState::Waiting }
+        Attempt { endpoint, sent_at, state: AttemptState::InFlight }
     }
 
     /// Where it was sent.
@@ -50,11 +50,11 @@
     /// Whether it has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
         match self.state {
-            AttemptState::Waiting
+            AttemptState::InFlight
             | AttemptState::SilenceCounted
             | AttemptState::Cancelled
             | AttemptState::CancelledAfterSilence => true,
-            AttemptState::NotSent | AttemptState::MayHaveRun | AttemptState::Answered => false,
+            AttemptState::NotSent | AttemptState::PossiblyExecuted | AttemptState::Answered => false,
         }
     }
 
@@ -71,7 +71,7 @@
     /// Notes that the silence of its endpoint has been counted as a failure.
     pub(crate) fn count_silence(&mut self) {
         self.state = match self.state {
-            AttemptState::Waiting => AttemptState::SilenceCounted,
+            AttemptState::InFlight => AttemptState::SilenceCounted,
             AttemptState::Cancelled => AttemptState::CancelledAfterSilence,
             unchanged => unchanged,
         };
@@ -80,7 +80,7 @@
     /// Notes that it was cancelled.
     pub(crate) fn cancel(&mut self) {
         self.state = match self.state {
-            AttemptState::Waiting => AttemptState::Cancelled,
+            AttemptState::InFlight => AttemptState::Cancelled,
             AttemptState::SilenceCounted => AttemptState::CancelledAfterSilence,
             unchanged => unchanged,
         };
@@ -91,7 +91,7 @@
         self.state = match outcome {
             Outcome::ConnectFailed | Outcome::NotSent => AttemptState::NotSent,
             Outcome::Error | Outcome::Timeout | Outcome::ConnectionReset | Outcome::Cancelled => {
-                AttemptState::MayHaveRun
+                AttemptState::PossiblyExecuted
             }
             Outcome::Success | Outcome::Overloaded | Outcome::Ineligible | Outcome::InvalidRequest => {
                 AttemptState::Answered
@@ -105,7 +105,7 @@
     }
 
     /// Whether it may have been executed, or may yet be.
-    pub(crate) fn may_take_effect(&self) -> bool {
-        self.is_in_flight() || self.state == AttemptState::MayHaveRun
+    pub(crate) fn may_be_executed(&self) -> bool {
+        self.is_in_flight() || self.state == AttemptState::PossiblyExecuted
     }
 }
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -30,7 +30,7 @@
     /// When its client stops waiting.
     pub(crate) deadline: LocalInstant,
     /// Until then it may wait without having reached any endpoint.
-    pub(crate) queue_until: LocalInstant,
+    pub(crate) queue_deadline: LocalInstant,
     /// The log position that it has to see as a session read.
     pub(crate) session_token: RequiredPosition,
     /// Whether it is within the quota of its tenant.
@@ -49,7 +49,7 @@
 /// Whether a request still needs a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnswerState {
-    Due,
+    Pending,
     /// It has had its final answer, or its client has disconnected.
     Finished,
 }
@@ -78,7 +78,7 @@
             context,
             attempts: Vec::new(),
             queue: QueueState::NotQueued,
-            answer: AnswerState::Due,
+            answer: AnswerState::Pending,
         }
     }
 
@@ -153,8 +153,8 @@
     }
 
     /// When the first attempt was sent that may have been executed, or is in flight and may yet be.
-    pub(crate) fn may_have_run_since(&self) -> Option<LocalInstant> {
-        let attempts = self.attempts.iter().filter(|attempt| attempt.may_take_effect());
+    pub(crate) fn possibly_executed_since(&self) -> Option<LocalInstant> {
+        let attempts = self.attempts.iter().filter(|attempt| attempt.may_be_executed());
         attempts.map(Attempt::sent_at).min()
     }
 
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -8,7 +8,7 @@
     let context = RequestContext {
         objective_expires_at: at(0.5),
         deadline: at(1.0),
-        queue_until: at(0.5),
+        queue_deadline: at(0.5),
         session_token: RequiredPosition::Any,
         quota_status: QuotaStatus::Within,
         sampling_value: 0.0,
@@ -19,17 +19,17 @@
 #[test]
 fn the_risk_of_a_repeat_counts_from_the_first_attempt_that_may_have_run() {
     let mut request = pending("a", 0);
-    assert_eq!(request.may_have_run_since(), None);
+    assert_eq!(request.possibly_executed_since(), None);
     request.add_attempt(Attempt::new(0, at(1.0)));
-    assert_eq!(request.may_have_run_since(), Some(at(1.0)), "in flight");
+    assert_eq!(request.possibly_executed_since(), Some(at(1.0)), "in flight");
     request.end_attempt(0, Outcome::Overloaded);
-    assert_eq!(request.may_have_run_since(), None, "proven not to have run");
+    assert_eq!(request.possibly_executed_since(), None, "proven not to have run");
     request.add_attempt(Attempt::new(0, at(2.0)));
     request.add_attempt(Attempt::new(1, at(3.0)));
     request.end_attempt(2, Outcome::ConnectionReset);
-    assert_eq!(request.may_have_run_since(), Some(at(2.0)), "the earlier one is still in flight");
+    assert_eq!(request.possibly_executed_since(), Some(at(2.0)), "the earlier one is still in flight");
     request.end_attempt(1, Outcome::Ineligible);
-    assert_eq!(request.may_have_run_since(), Some(at(3.0)));
+    assert_eq!(request.possibly_executed_since(), Some(at(3.0)));
 }
 
 #[test]
--- a/src/policy/retry/budget.rs
+++ b/src/policy/retry/budget.rs
@@ -4,11 +4,11 @@
 use crate::policy::token_bucket::TokenBucket;
 
 /// Retry tokens that each request deposits: 10% more attempts cannot amplify an overload.
-const RETRIES_PER_REQUEST: f64 = 0.1;
+const TOKENS_PER_REQUEST: f64 = 0.1;
 /// Largest retry budget: enough for the requests that one lost endpoint had in flight.
-const MAX_RETRIES: f64 = 20.0;
+const MAX_TOKENS: f64 = 20.0;
 /// Share of the largest retry budget with which a pooler starts.
-const INITIAL_RETRIES_SHARE: f64 = 0.5;
+const INITIAL_TOKENS_SHARE: f64 = 0.5;
 
 /// The retries that may be sent of requests that may have been executed.
 pub(crate) struct RetryBudget {
@@ -18,12 +18,12 @@
 impl RetryBudget {
     /// A budget to begin with.
     pub(crate) fn new() -> RetryBudget {
-        RetryBudget { tokens: TokenBucket::new(MAX_RETRIES * INITIAL_RETRIES_SHARE, MAX_RETRIES) }
+        RetryBudget { tokens: TokenBucket::new(MAX_TOKENS * INITIAL_TOKENS_SHARE, MAX_TOKENS) }
     }
 
     /// Adds what one request earns.
     pub(crate) fn deposit(&mut self) {
-        self.tokens.deposit(RETRIES_PER_REQUEST);
+        self.tokens.deposit(TOKENS_PER_REQUEST);
     }
 
     /// Takes one retry. Returns whether it was there.
@@ -32,7 +32,7 @@
     }
 
     /// Whether a retry is there.
-    pub(crate) fn has_retry(&self) -> bool {
+    pub(crate) fn has_token(&self) -> bool {
         self.tokens.has_token()
     }
 }
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -5,12 +5,12 @@
 //! | Rule | Function | Reason |
 //! | --- | --- | --- |
 //! | The primary has not rejected it as overloaded | [`charge_retry`] | `PrimaryOverloaded` |
-//! | If the attempt may have run, the budget has a token | [`charge_retry`] | `NoRetryBudget` |
-//! | Fewer attempts are in flight than 1, or 2 with hedging | [`next_attempt`] | `InFlight` |
-//! | Fewer attempts were made than `max_attempts` | [`next_attempt`] | `NoneLeft` |
-//! | No attempt may have run, or a repeat is harmless | [`next_attempt`] | `MayTakeEffectTwice` |
-//! | An answer would still be of use | [`check_dispatch`] | `NoUsefulAnswer` |
-//! | The final answer is not due | [`check_dispatch`] | `Deadline` |
+//! | If the attempt may have run, the budget has a token | [`charge_retry`] | `RetryBudgetExhausted` |
+//! | Fewer attempts are in flight than 1, or 2 with hedging | [`next_attempt`] | `TooManyInFlight` |
+//! | Fewer attempts were made than `max_attempts` | [`next_attempt`] | `AttemptsExhausted` |
+//! | No attempt may have run, or a repeat is harmless | [`next_attempt`] | `UnsafeRepeat` |
+//! | An answer would still be of use | [`check_dispatch`] | `AnswerTooLate` |
+//! | The final answer is not due | [`check_dispatch`] | `DeadlineReached` |
 //!
 //! An attempt in flight counts as one that may have run. A repeat is harmless if the class is idempotent,
 //! or if its requests carry an idempotency key and the deduplication window allows it: the window counts
@@ -30,7 +30,7 @@
 use crate::policy::admission::LatencyEstimator;
 use crate::policy::cluster::Cluster;
 use crate::policy::give_up::GiveUpReason;
-use crate::policy::overdue::Delay;
+use crate::policy::overdue::OverdueCause;
 use crate::policy::request::PendingRequest;
 use crate::settings::{Consistency, DeduplicationScope, Idempotency, RequestClass, Settings};
 use crate::time::{LocalInstant, Span};
@@ -43,13 +43,13 @@
 
 /// Why a request may not have another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoAttempt {
+pub(crate) enum AttemptDenied {
     /// As many attempts are in flight as the settings allow.
-    InFlight,
+    TooManyInFlight,
     /// All attempts that the settings allow were made.
-    NoneLeft,
+    AttemptsExhausted,
     /// An earlier attempt may have been executed, and a repeat could take effect twice.
-    MayTakeEffectTwice,
+    UnsafeRepeat,
 }
 
 /// Until when a request may be repeated that may have been executed.
@@ -61,32 +61,37 @@
 
 /// Whether the attempts so far allow one more now. Returns the time by which that must be answered: the
 /// deadline, or the end of the deduplication window if that is earlier.
-pub(crate) fn next_attempt(request: &PendingRequest, cluster: &Cluster) -> Result<LocalInstant, NoAttempt> {
+pub(crate) fn next_attempt(
+    request: &PendingRequest,
+    cluster: &Cluster,
+) -> Result<LocalInstant, AttemptDenied> {
     let settings = cluster.settings();
     if request.attempts_in_flight() >= settings.max_attempts_in_flight() {
-        return Err(NoAttempt::InFlight);
+        return Err(AttemptDenied::TooManyInFlight);
     }
     if request.attempts().len() >= settings.max_attempts as usize {
-        return Err(NoAttempt::NoneLeft);
+        return Err(AttemptDenied::AttemptsExhausted);
     }
-    let Some(first_sent_at) = request.may_have_run_since() else { return Ok(request.context().deadline) };
+    let Some(first_sent_at) = request.possibly_executed_since() else {
+        return Ok(request.context().deadline);
+    };
     match repeat_limit(cluster.class(request.class()), first_sent_at) {
         RepeatLimit::Always => Ok(request.context().deadline),
-        RepeatLimit::Until(window_end) => answer_due_within_window(request, window_end, cluster),
-        RepeatLimit::Never => Err(NoAttempt::MayTakeEffectTwice),
+        RepeatLimit::Until(window_end) => answer_deadline_within_window(request, window_end, cluster),
+        RepeatLimit::Never => Err(AttemptDenied::UnsafeRepeat),
     }
 }
 
 /// A repeat must reach its endpoint within the deduplication window: neither the time to connect nor a
 /// pause of the process may delay it until later.
-fn answer_due_within_window(
+fn answer_deadline_within_window(
     request: &PendingRequest,
     window_end: LocalInstant,
     cluster: &Cluster,
-) -> Result<LocalInstant, NoAttempt> {
+) -> Result<LocalInstant, AttemptDenied> {
     let reserve = cluster.settings().connect_timeout.max(MAX_PROCESS_PAUSE);
     if cluster.now() >= window_end - reserve {
-        return Err(NoAttempt::MayTakeEffectTwice);
+        return Err(AttemptDenied::UnsafeRepeat);
     }
     Ok(request.context().deadline.min(window_end - MAX_PROCESS_PAUSE))
 }
@@ -101,19 +106,19 @@
 
 /// Whether a request without attempts in flight may be sent now, or why it has to be given up.
 pub(crate) fn check_dispatch(request: &PendingRequest, cluster: &Cluster) -> Result<(), GiveUpReason> {
-    next_attempt(request, cluster).map_err(GiveUpReason::NoAttempt)?;
+    next_attempt(request, cluster).map_err(GiveUpReason::AttemptDenied)?;
     let useful_until = request.useful_until(cluster.class(request.class()));
     if cluster.now() >= useful_until {
-        return Err(GiveUpReason::NoUsefulAnswer);
+        return Err(GiveUpReason::AnswerTooLate);
     }
-    if is_answer_due(request, cluster) {
-        return Err(GiveUpReason::Deadline);
+    if is_final_answer_due(request, cluster) {
+        return Err(GiveUpReason::DeadlineReached);
     }
     Ok(())
 }
 
 /// The final answer is due a tick before the deadline: nothing that is sent then could be answered in time.
-fn is_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
+fn is_final_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
     cluster.now() + cluster.settings().tick >= request.context().deadline
 }
 
@@ -129,7 +134,7 @@
         return Err(GiveUpReason::PrimaryOverloaded);
     }
     if !outcome.proves_not_executed() && !budget.withdraw() {
-        return Err(GiveUpReason::NoRetryBudget);
+        return Err(GiveUpReason::RetryBudgetExhausted);
     }
     Ok(())
 }
@@ -138,8 +143,8 @@
 /// executed, since an endpoint that is not the primary rejects it without executing it.
 pub(crate) fn may_discover_primary(request: &PendingRequest, cluster: &Cluster) -> bool {
     let is_write = cluster.class(request.class()).is_write();
-    let is_unexecuted = request.may_have_run_since().is_none() && next_attempt(request, cluster).is_ok();
-    is_write && is_unexecuted && !request.is_finished() && !is_answer_due(request, cluster)
+    let is_unexecuted = request.possibly_executed_since().is_none() && next_attempt(request, cluster).is_ok();
+    is_write && is_unexecuted && !request.is_finished() && !is_final_answer_due(request, cluster)
 }
 
 /// What replaces an attempt that takes too long.
@@ -156,34 +161,34 @@
 pub(crate) fn replacement(
     request: &PendingRequest,
     number: usize,
-    delay: Delay,
+    cause: OverdueCause,
     class_latency: &LatencyEstimator,
     budget: &RetryBudget,
     cluster: &Cluster,
 ) -> Option<Replacement> {
     let class = cluster.class(request.class());
-    let is_safe = class.idempotency == Idempotency::Idempotent || delay.is_answer_lost;
+    let is_safe = class.idempotency == Idempotency::Idempotent || cause.is_answer_lost;
     let is_last = request.attempts().len() == number + 1 && number < MAX_REPLACED_ATTEMPTS;
-    let is_in_time = has_time_to_replace(request, delay, class_latency.mean(), cluster);
-    if !is_in_time || !is_safe || !is_last || !budget.has_retry() {
+    let is_in_time = has_time_to_replace(request, cause, class_latency.mean(), cluster);
+    if !is_in_time || !is_safe || !is_last || !budget.has_token() {
         return None;
     }
-    if is_hedged(class, cluster.settings()) {
+    if allows_hedging(class, cluster.settings()) {
         return next_attempt(request, cluster).is_ok().then_some(Replacement::Hedge);
     }
-    let may_cancel = cluster.settings().cancellation && (delay.is_endpoint_silent || delay.is_answer_lost);
+    let may_cancel = cluster.settings().cancellation && (cause.is_endpoint_silent || cause.is_answer_lost);
     may_cancel.then_some(Replacement::CancelAndRetry)
 }
 
 /// Only a lost answer is worth replacing after the latency objective: any other may still come.
 fn has_time_to_replace(
     request: &PendingRequest,
-    delay: Delay,
+    cause: OverdueCause,
     mean_latency: Span,
     cluster: &Cluster,
 ) -> bool {
     let class = cluster.class(request.class());
-    let useful_until = if delay.is_answer_lost {
+    let useful_until = if cause.is_answer_lost {
         request.useful_until(class)
     } else {
         request.context().objective_expires_at
@@ -192,19 +197,19 @@
 }
 
 /// Strong reads are not hedged: only the primary answers them.
-fn is_hedged(class: &RequestClass, settings: &Settings) -> bool {
+fn allows_hedging(class: &RequestClass, settings: &Settings) -> bool {
     settings.hedging && class.consistency != Consistency::Strong
 }
 
 /// Whether its client may send a request again that the pooler has given up.
-pub(crate) fn may_client_retry(request: &PendingRequest, class: &RequestClass) -> bool {
+pub(crate) fn is_client_retry_safe(request: &PendingRequest, class: &RequestClass) -> bool {
     let is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
         // The client's retry may reach an endpoint that does not share the keys of this group.
         Idempotency::IdempotencyKey => class.deduplication_scope == DeduplicationScope::AnyEndpoint,
         Idempotency::NonIdempotent => false,
     };
-    is_harmless || request.may_have_run_since().is_none()
+    is_harmless || request.possibly_executed_since().is_none()
 }
 
 #[cfg(test)]
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -47,12 +47,12 @@
 #[rstest]
 #[case::idempotent(IDEMPOTENT, 0.9, Ok(at(1.0)))]
 #[case::inside_the_window(KEYED, 0.44, Ok(at(0.1) + secs(0.6) - MAX_PROCESS_PAUSE))]
-#[case::no_time_to_connect_inside_the_window(KEYED, 0.46, Err(NoAttempt::MayTakeEffectTwice))]
-#[case::non_idempotent(NON_IDEMPOTENT, 0.2, Err(NoAttempt::MayTakeEffectTwice))]
+#[case::no_time_to_connect_inside_the_window(KEYED, 0.46, Err(AttemptDenied::UnsafeRepeat))]
+#[case::non_idempotent(NON_IDEMPOTENT, 0.2, Err(AttemptDenied::UnsafeRepeat))]
 fn what_may_have_run_is_repeated_as_its_class_allows(
     #[case] class: usize,
     #[case] now: f64,
-    #[case] expected: Result<LocalInstant, NoAttempt>,
+    #[case] expected: Result<LocalInstant, AttemptDenied>,
 ) {
     let request = attempted(class, Some(Outcome::Timeout));
     assert_eq!(next_attempt(&request, &cluster(now, |_| ())), expected);
@@ -68,17 +68,17 @@
     let last_tick = cluster(0.996, |_| ());
     assert_eq!(
         check_dispatch(&request, &last_tick),
-        Err(GiveUpReason::NoUsefulAnswer),
+        Err(GiveUpReason::AnswerTooLate),
         "late reads and writes"
     );
     let late_counts = cluster(0.996, |settings| settings.classes[class].late_weight = 0.5);
-    assert_eq!(check_dispatch(&request, &late_counts), Err(GiveUpReason::Deadline));
+    assert_eq!(check_dispatch(&request, &late_counts), Err(GiveUpReason::DeadlineReached));
 }
 
 #[test]
 fn attempts_in_flight_and_in_all_are_limited() {
     let in_flight = attempted(IDEMPOTENT, None);
-    assert_eq!(next_attempt(&in_flight, &cluster(0.2, |_| ())), Err(NoAttempt::InFlight));
+    assert_eq!(next_attempt(&in_flight, &cluster(0.2, |_| ())), Err(AttemptDenied::TooManyInFlight));
     let hedging = cluster(0.2, |settings| settings.hedging = true);
     assert_eq!(next_attempt(&in_flight, &hedging), Ok(at(1.0)));
     let mut request = pending("a", IDEMPOTENT);
@@ -86,7 +86,7 @@
         request.add_attempt(Attempt::new(number, at(0.1)));
         request.end_attempt(number, Outcome::Error);
     }
-    assert_eq!(next_attempt(&request, &cluster(0.2, |_| ())), Err(NoAttempt::NoneLeft));
+    assert_eq!(next_attempt(&request, &cluster(0.2, |_| ())), Err(AttemptDenied::AttemptsExhausted));
 }
 
 #[test]
@@ -99,28 +99,28 @@
     assert_eq!(charge_retry(Outcome::Overloaded, true, &mut budget), Err(GiveUpReason::PrimaryOverloaded));
     let retries = (0..100).filter(|_| charge_retry(Outcome::Error, false, &mut budget).is_ok()).count();
     assert_eq!(retries, 10, "half of the largest budget");
-    assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Err(GiveUpReason::NoRetryBudget));
+    assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Err(GiveUpReason::RetryBudgetExhausted));
     (0..11).for_each(|_| budget.deposit());
     assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Ok(()));
 }
 
-const SILENT: Delay = Delay { is_endpoint_silent: true, is_answer_lost: false };
-const LOST: Delay = Delay { is_endpoint_silent: false, is_answer_lost: true };
+const SILENT: OverdueCause = OverdueCause { is_endpoint_silent: true, is_answer_lost: false };
+const LOST: OverdueCause = OverdueCause { is_endpoint_silent: false, is_answer_lost: true };
 
 #[rstest]
 #[case::silent_read(IDEMPOTENT, SILENT, Some(Replacement::CancelAndRetry))]
 #[case::silent_write(KEYED, SILENT, None)]
 #[case::lost_write(KEYED, LOST, Some(Replacement::CancelAndRetry))]
-#[case::slow_read(IDEMPOTENT, Delay { is_endpoint_silent: false, is_answer_lost: false }, None)]
+#[case::slow_read(IDEMPOTENT, OverdueCause { is_endpoint_silent: false, is_answer_lost: false }, None)]
 fn an_attempt_is_replaced_where_that_is_safe(
     #[case] class: usize,
-    #[case] delay: Delay,
+    #[case] cause: OverdueCause,
     #[case] expected: Option<Replacement>,
 ) {
     let request = attempted(class, None);
     let latency = LatencyEstimator::new(secs(0.05));
     let replaced =
-        |budget: &RetryBudget, cluster: &Cluster| replacement(&request, 0, delay, &latency, budget, cluster);
+        |budget: &RetryBudget, cluster: &Cluster| replacement(&request, 0, cause, &latency, budget, cluster);
     let budget = RetryBudget::new();
     assert_eq!(replaced(&budget, &cluster(0.3, |_| ())), expected);
     assert_eq!(replaced(&budget, &cluster(0.46, |_| ())), None, "an answer would be late");
@@ -133,10 +133,10 @@
 #[test]
 fn a_hedged_request_needs_no_silence() {
     let request = attempted(IDEMPOTENT, None);
-    let delay = Delay { is_endpoint_silent: false, is_answer_lost: false };
+    let cause = OverdueCause { is_endpoint_silent: false, is_answer_lost: false };
     let latency = LatencyEstimator::new(secs(0.05));
     let hedging = cluster(0.3, |settings| settings.hedging = true);
-    let replaced = replacement(&request, 0, delay, &latency, &RetryBudget::new(), &hedging);
+    let replaced = replacement(&request, 0, cause, &latency, &RetryBudget::new(), &hedging);
     assert_eq!(replaced, Some(Replacement::Hedge));
 }
 
@@ -151,5 +151,5 @@
     #[case] expected: bool,
 ) {
     let cluster = cluster(0.2, |_| ());
-    assert_eq!(may_client_retry(&attempted(class, Some(outcome)), cluster.class(class)), expected);
+    assert_eq!(is_client_retry_safe(&attempted(class, Some(outcome)), cluster.class(class)), expected);
 }
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -16,9 +16,9 @@
 use table::SessionTable;
 
 /// Number of remembered writes; a forgotten session counts as having written when the latest of them did.
-const MAX_SESSION_WRITES: usize = 20_000;
+const MAX_RECORDED_WRITES: usize = 20_000;
 /// Age after which a write is forgotten, far beyond the lag of any replica.
-const MAX_SESSION_AGE: Span = Span::from_secs(60.0);
+const MAX_WRITE_AGE: Span = Span::from_secs(60.0);
 
 /// What the pooler knows of the writes of sessions.
 #[derive(Default)]
@@ -60,7 +60,7 @@
     }
 
     /// Remembers the commit of a write. One whose commit is unknown was committed before now at the latest.
-    pub(crate) fn remember_write(
+    pub(crate) fn record_write(
         &mut self,
         request: &PendingRequest,
         result: &AttemptResult,
@@ -73,13 +73,13 @@
         let Some(session) = request.session() else { return };
         let latest = freshness::position_at(cluster, cluster.now());
         match reported_commit(result, cluster).map_or(latest, RequiredPosition::AtLeast) {
-            RequiredPosition::AtLeast(commit) => self.commits.remember(session.clone(), commit),
+            RequiredPosition::AtLeast(commit) => self.commits.record(session.clone(), commit),
             // The clock of the endpoints is not known yet.
             RequiredPosition::Any | RequiredPosition::Unknown => {
                 self.unknown_writes_until = Some(cluster.now());
             }
         }
-        self.commits.forget(MAX_SESSION_WRITES, cluster.likely_now() - MAX_SESSION_AGE);
+        self.commits.evict(MAX_RECORDED_WRITES, cluster.likely_now() - MAX_WRITE_AGE);
     }
 }
 
--- a/src/policy/session/table.rs
+++ b/src/policy/session/table.rs
@@ -6,7 +6,7 @@
 use crate::time::LogPosition;
 
 /// A write of a session that is remembered.
-struct RememberedWrite {
+struct SessionWrite {
     session: Arc<str>,
     commit: LogPosition,
 }
@@ -16,37 +16,37 @@
 pub(crate) struct SessionTable {
     last_commits: HashMap<Arc<str>, LogPosition>,
     /// Every write, in the order in which they were remembered.
-    writes: VecDeque<RememberedWrite>,
+    writes: VecDeque<SessionWrite>,
     /// Sessions that are not in the table may have written until then.
-    forgotten_until: Option<LogPosition>,
+    evicted_until: Option<LogPosition>,
 }
 
 impl SessionTable {
     /// The latest commit that a session may have made.
     pub(crate) fn last_commit(&self, session: Option<&Arc<str>>) -> Option<LogPosition> {
         let known = session.and_then(|session| self.last_commits.get(session));
-        known.copied().or(self.forgotten_until)
+        known.copied().or(self.evicted_until)
     }
 
     /// Remembers a commit.
-    pub(crate) fn remember(&mut self, session: Arc<str>, commit: LogPosition) {
+    pub(crate) fn record(&mut self, session: Arc<str>, commit: LogPosition) {
         let last = self.last_commits.entry(session.clone()).or_insert(commit);
         *last = commit.max(*last);
-        self.writes.push_back(RememberedWrite { session, commit });
+        self.writes.push_back(SessionWrite { session, commit });
     }
 
     /// Forgets the oldest writes, down to so many and those since `horizon`.
-    pub(crate) fn forget(&mut self, max_writes: usize, horizon: LogPosition) {
+    pub(crate) fn evict(&mut self, max_writes: usize, horizon: LogPosition) {
         while let Some(oldest) = self.writes.front() {
             if self.writes.len() <= max_writes && oldest.commit >= horizon {
                 break;
             }
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let Some(RememberedWrite { session, commit }) = self.writes.pop_front() else { return };
+    fn evict_oldest(&mut self) {
+        let Some(SessionWrite { session, commit }) = self.writes.pop_front() else { return };
         if self.last_commits.get(&session).is_some_and(|last| *last <= commit) {
             self.last_commits.remove(&session);
             self.assume_writes_until(commit);
@@ -55,7 +55,7 @@
 
     /// From now on any session that is not known may have written until this time.
     fn assume_writes_until(&mut self, time: LogPosition) {
-        self.forgotten_until = self.forgotten_until.max(Some(time));
+        self.evicted_until = self.evicted_until.max(Some(time));
     }
 }
 
--- a/src/policy/session/table/tests.rs
+++ b/src/policy/session/table/tests.rs
@@ -15,18 +15,18 @@
 #[test]
 fn the_latest_commit_counts_whatever_the_order() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), cluster(2.0));
-    table.remember(session("a"), cluster(1.0));
+    table.record(session("a"), cluster(2.0));
+    table.record(session("a"), cluster(1.0));
     assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(2.0)));
 }
 
 #[test]
 fn a_forgotten_session_may_have_written_as_late_as_any_forgotten() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), cluster(1.0));
-    table.remember(session("b"), cluster(2.0));
-    table.remember(session("c"), cluster(3.0));
-    table.forget(1, cluster(0.0));
+    table.record(session("a"), cluster(1.0));
+    table.record(session("b"), cluster(2.0));
+    table.record(session("c"), cluster(3.0));
+    table.evict(1, cluster(0.0));
     assert_eq!(table.last_commit(Some(&session("c"))), Some(cluster(3.0)));
     assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(2.0)));
     assert_eq!(table.last_commit(Some(&session("never heard of"))), Some(cluster(2.0)));
@@ -35,9 +35,9 @@
 #[test]
 fn commits_before_the_horizon_are_forgotten() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), cluster(1.0));
-    table.remember(session("b"), cluster(2.0));
-    table.forget(100, cluster(1.5));
+    table.record(session("a"), cluster(1.0));
+    table.record(session("b"), cluster(2.0));
+    table.evict(100, cluster(1.5));
     assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(1.0)), "the floor for unknown sessions");
     assert_eq!(table.last_commit(Some(&session("b"))), Some(cluster(2.0)));
 }
@@ -45,9 +45,9 @@
 #[test]
 fn an_old_write_does_not_take_a_newer_one_with_it() {
     let mut table = SessionTable::default();
-    table.remember(session("a"), cluster(1.0));
-    table.remember(session("a"), cluster(2.0));
-    table.forget(1, cluster(0.0));
+    table.record(session("a"), cluster(1.0));
+    table.record(session("a"), cluster(2.0));
+    table.evict(1, cluster(0.0));
     assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(2.0)));
     assert_eq!(table.last_commit(Some(&session("b"))), None);
 }
