--- a/src/policy/request/attempt.rs
+++ b/src/policy/request/attempt.rs
@@ -1,29 +1,28 @@
-//! One attempt of a request.
+//! The state of a single attempt.
 
 use crate::interface::Outcome;
 use crate::policy::cluster::EndpointKey;
 use crate::time::LocalInstant;
 
-/// What has become of an attempt.
+/// The state of an attempt, with what is known about its execution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
-    /// It is in flight.
     InFlight,
-    /// It is in flight, and the silence of its endpoint has been counted as a failure.
+    /// In flight; that its endpoint has stopped answering was recorded as a failure.
     SilenceCounted,
-    /// It was cancelled; its end may still be due.
+    /// Cancelled by the pooler; its result has not been reported yet.
     Cancelled,
-    /// It was cancelled after the silence of its endpoint had been counted.
+    /// Both of the above: cancelled, and the silence of its endpoint was recorded as a failure.
     CancelledAfterSilence,
-    /// It ended and never reached its endpoint.
+    /// Ended without having reached its endpoint.
     NotSent,
-    /// It ended, and it is not known whether it was executed.
+    /// Ended without proof whether the request was executed.
     PossiblyExecuted,
-    /// It ended with an answer that says whether it was executed.
+    /// Ended with an answer that tells whether the request was executed.
     Answered,
 }
 
-/// One attempt of a request.
+/// A request sent to an endpoint once.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     endpoint: EndpointKey,
@@ -32,22 +31,19 @@
 }
 
 impl Attempt {
-    /// An attempt that has just been sent.
     pub(crate) fn new(endpoint: EndpointKey, sent_at: LocalInstant) -> Attempt {
         Attempt { endpoint, sent_at, state: AttemptState::InFlight }
     }
 
-    /// Where it was sent.
     pub(crate) fn endpoint(&self) -> EndpointKey {
         self.endpoint
     }
 
-    /// When it was sent.
     pub(crate) fn sent_at(&self) -> LocalInstant {
         self.sent_at
     }
 
-    /// Whether it has not ended.
+    /// Whether its result has not been reported yet; a cancelled attempt counts until then.
     pub(crate) fn is_in_flight(&self) -> bool {
         match self.state {
             AttemptState::InFlight
@@ -58,17 +54,17 @@
         }
     }
 
-    /// Whether it was cancelled while in flight.
+    /// Whether the pooler has cancelled it and its result has not been reported yet.
     pub(crate) fn is_cancelled(&self) -> bool {
         matches!(self.state, AttemptState::Cancelled | AttemptState::CancelledAfterSilence)
     }
 
-    /// Whether the silence of its endpoint has been counted as a failure.
+    /// Whether it is in flight and the silence of its endpoint was already recorded as a failure.
     pub(crate) fn is_silence_counted(&self) -> bool {
         matches!(self.state, AttemptState::SilenceCounted | AttemptState::CancelledAfterSilence)
     }
 
-    /// Notes that the silence of its endpoint has been counted as a failure.
+    /// Records that the silence of its endpoint was counted as a failure, so that it is counted only once.
     pub(crate) fn count_silence(&mut self) {
         self.state = match self.state {
             AttemptState::InFlight => AttemptState::SilenceCounted,
@@ -77,7 +73,7 @@
         };
     }
 
-    /// Notes that it was cancelled.
+    /// Marks it as cancelled. It stays in flight until its result is reported.
     pub(crate) fn cancel(&mut self) {
         self.state = match self.state {
             AttemptState::InFlight => AttemptState::Cancelled,
@@ -86,7 +82,7 @@
         };
     }
 
-    /// Notes that it has ended in this way.
+    /// Records the outcome with which it ended.
     pub(crate) fn end(&mut self, outcome: Outcome) {
         self.state = match outcome {
             Outcome::ConnectFailed | Outcome::NotSent => AttemptState::NotSent,
@@ -99,12 +95,11 @@
         };
     }
 
-    /// Whether it has ended without having reached its endpoint.
     pub(crate) fn never_reached_endpoint(&self) -> bool {
         self.state == AttemptState::NotSent
     }
 
-    /// Whether it may have been executed, or may yet be.
+    /// Whether it may have been executed, or may still be because it is in flight.
     pub(crate) fn may_be_executed(&self) -> bool {
         self.is_in_flight() || self.state == AttemptState::PossiblyExecuted
     }
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -1,4 +1,4 @@
-//! Requests that are not finished, and their attempts.
+//! The requests in progress and their attempts.
 
 mod attempt;
 mod table;
@@ -13,33 +13,33 @@
 pub(crate) use attempt::Attempt;
 pub(crate) use table::{AttemptInFlight, EndedAttempt, RequestKey, RequestTable};
 
-/// Whether a request is within the quota of its tenant.
+/// Whether a request is within the quota of its tenant, as of its receipt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaStatus {
-    /// It is, or its tenant has no quota.
+    /// Within the quota, or the tenant has none.
     Within,
-    /// It is beyond: its priority is lower.
+    /// Over the quota: admission control gives the request a lower priority.
     Exceeded,
 }
 
-/// What the policy has found out about a request when it was received.
+/// Properties of a request that are determined once, when it is received.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestContext {
-    /// When its latency objective is over.
+    /// When its latency objective expires.
     pub(crate) objective_expires_at: LocalInstant,
-    /// When its client stops waiting.
+    /// When its client stops waiting for an answer.
     pub(crate) deadline: LocalInstant,
-    /// Until then it may wait without having reached any endpoint.
+    /// While no attempt has reached an endpoint, the request is given up at this time.
     pub(crate) queue_deadline: LocalInstant,
-    /// The log position that it has to see as a session read.
+    /// For a session read, the log position that an endpoint must have reached to serve it.
     pub(crate) session_token: RequiredPosition,
-    /// Whether it is within the quota of its tenant.
     pub(crate) quota_status: QuotaStatus,
-    /// Drawn once from 0 to 1: decides where only a share of all requests may go.
+    /// Random number from 0 to 1, drawn once: a rule that admits a share of all requests admits those below
+    /// that share.
     pub(crate) sampling_value: f64,
 }
 
-/// Whether a request waits in the queue of its group.
+/// Whether a request is in the queue of its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum QueueState {
     NotQueued,
@@ -50,11 +50,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnswerState {
     Pending,
-    /// It has had its final answer, or its client has disconnected.
+    /// The final answer was given, its stream has started, or the client has disconnected.
     Finished,
 }
 
-/// A request that is not finished, or still has attempts in flight.
+/// A request without a final answer, or with attempts still in flight.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     id: RequestId,
@@ -68,7 +68,7 @@
 }
 
 impl PendingRequest {
-    /// A request that has just been received.
+    /// Creates the state of a newly received request, which has no attempts yet.
     pub(crate) fn new(request: Request, context: RequestContext) -> PendingRequest {
         PendingRequest {
             id: request.id,
@@ -82,12 +82,11 @@
         }
     }
 
-    /// Its identifier.
     pub(crate) fn id(&self) -> &RequestId {
         &self.id
     }
 
-    /// Its class.
+    /// The index of its class in the settings.
     pub(crate) fn class(&self) -> usize {
         self.class
     }
@@ -97,34 +96,31 @@
         self.group
     }
 
-    /// Its session, if it belongs to one.
     pub(crate) fn session(&self) -> Option<&Arc<str>> {
         self.session.as_ref()
     }
 
-    /// What was found out about it when it was received.
     pub(crate) fn context(&self) -> &RequestContext {
         &self.context
     }
 
-    /// Its attempts, in the order in which they were sent.
+    /// All attempts in the order in which they were sent, those that have ended included.
     pub(crate) fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
 
-    /// One of its attempts, to be changed.
     pub(crate) fn attempt_mut(&mut self, number: usize) -> Option<&mut Attempt> {
         self.attempts.get_mut(number)
     }
 
-    /// Adds an attempt that has just been sent; the request waits in no queue any more.
+    /// Adds an attempt that was just sent, and marks the request as not queued.
     pub(crate) fn add_attempt(&mut self, attempt: Attempt) {
         self.queue = QueueState::NotQueued;
         self.attempts.push(attempt);
     }
 
-    /// Marks an attempt as ended. Returns a copy of it as it was while in flight, unless there is none or it
-    /// had ended before.
+    /// Marks an attempt as ended. Returns a copy of its state before the end, or `None` if there is no such
+    /// attempt in flight.
     pub(crate) fn end_attempt(&mut self, number: usize, outcome: Outcome) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(number).filter(|attempt| attempt.is_in_flight())?;
         let in_flight = attempt.clone();
@@ -132,33 +128,34 @@
         Some(in_flight)
     }
 
-    /// How many attempts are in flight.
     pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
     }
 
-    /// Whether an attempt is in flight.
+    /// Whether any attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether an attempt was made at this endpoint.
+    /// Whether any attempt was sent to this endpoint, whatever its outcome.
     pub(crate) fn has_tried(&self, endpoint: EndpointKey) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint() == endpoint)
     }
 
-    /// Whether it has reached no endpoint, as far as is known.
+    /// Whether every attempt so far has ended without reaching its endpoint; true without any attempt.
     pub(crate) fn has_reached_no_endpoint(&self) -> bool {
         self.attempts.iter().all(Attempt::never_reached_endpoint)
     }
 
-    /// When the first attempt was sent that may have been executed, or is in flight and may yet be.
+    /// When the earliest attempt was sent that may have been executed, or may still be because it is in
+    /// flight.
     pub(crate) fn possibly_executed_since(&self) -> Option<LocalInstant> {
         let attempts = self.attempts.iter().filter(|attempt| attempt.may_be_executed());
         attempts.map(Attempt::sent_at).min()
     }
 
-    /// Until when an answer is of use: the deadline, or the latency objective if a late answer earns nothing.
+    /// The time after which an answer is useless: the deadline, or the end of the latency objective if the
+    /// class gives late answers no weight.
     pub(crate) fn useful_until(&self, class: &RequestClass) -> LocalInstant {
         if class.late_weight > 0.0 {
             self.context.deadline
@@ -167,22 +164,22 @@
         }
     }
 
-    /// Puts it into a queue. Returns whether it was in none.
+    /// Marks the request as queued. Returns whether it was not queued before.
     pub(crate) fn enter_queue(&mut self) -> bool {
         std::mem::replace(&mut self.queue, QueueState::Queued) == QueueState::NotQueued
     }
 
-    /// Takes it out of its queue.
+    /// Marks the request as not queued.
     pub(crate) fn leave_queue(&mut self) {
         self.queue = QueueState::NotQueued;
     }
 
-    /// Notes that it needs no final answer any more.
+    /// Records that the final answer was given or is no longer needed.
     pub(crate) fn finish(&mut self) {
         self.answer = AnswerState::Finished;
     }
 
-    /// Whether it needs no final answer any more.
+    /// Whether the final answer was given or is no longer needed.
     pub(crate) fn is_finished(&self) -> bool {
         self.answer == AnswerState::Finished
     }
--- a/src/policy/request/table.rs
+++ b/src/policy/request/table.rs
@@ -1,4 +1,4 @@
-//! All pending requests by a key that counts up.
+//! The pending requests, indexed by an ascending key and by identifier.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,19 +6,17 @@
 use crate::policy::cluster::EndpointKey;
 use crate::policy::request::{Attempt, PendingRequest};
 
-/// The number of a request, from 1 in the order of arrival.
+/// Identifies a pending request. Keys start at 1 and ascend in the order of arrival.
 pub(crate) type RequestKey = u64;
 
-/// An attempt in flight and its request.
+/// An attempt in flight together with its request.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptInFlight<'a> {
     /// The key of the request.
     pub(crate) key: RequestKey,
-    /// The request.
     pub(crate) request: &'a PendingRequest,
-    /// The number of the attempt among those of the request.
+    /// The index of the attempt among those of the request.
     pub(crate) number: usize,
-    /// The attempt.
     pub(crate) attempt: &'a Attempt,
 }
 
@@ -28,11 +26,11 @@
     pub(crate) key: RequestKey,
     /// The class of its request.
     pub(crate) class: usize,
-    /// The attempt, as it was while in flight.
+    /// A copy of the attempt from just before its end.
     pub(crate) attempt: Attempt,
 }
 
-/// Pending requests by key and by identifier.
+/// All pending requests.
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestKey, PendingRequest>,
@@ -41,7 +39,7 @@
 }
 
 impl RequestTable {
-    /// Adds a request.
+    /// Adds a request and returns its new key.
     pub(crate) fn insert(&mut self, request: PendingRequest) -> RequestKey {
         self.last_key += 1;
         self.keys.insert(request.id().clone(), self.last_key);
@@ -49,27 +47,26 @@
         self.last_key
     }
 
-    /// The key of a pending request.
+    /// Looks up the key of a pending request by its identifier.
     pub(crate) fn key(&self, id: &RequestId) -> Option<RequestKey> {
         self.keys.get(id).copied()
     }
 
-    /// A pending request.
     pub(crate) fn get(&self, key: RequestKey) -> Option<&PendingRequest> {
         self.requests.get(&key)
     }
 
-    /// A pending request, to be changed.
     pub(crate) fn get_mut(&mut self, key: RequestKey) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&key)
     }
 
-    /// A request that has had no final answer.
+    /// Returns a request that has no final answer yet; `None` for a finished one.
     pub(crate) fn unfinished_mut(&mut self, key: RequestKey) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&key).filter(|request| !request.is_finished())
     }
 
-    /// Marks a request as finished; it is kept while attempts of it are in flight.
+    /// Marks a request as finished. It is removed unless an attempt is in flight, whose result is still to be
+    /// matched.
     pub(crate) fn finish(&mut self, key: RequestKey) {
         let Some(request) = self.requests.get_mut(&key) else { return };
         request.finish();
@@ -79,14 +76,14 @@
         }
     }
 
-    /// Marks the request with this identifier as finished.
+    /// Like [`finish`](Self::finish), for the request with this identifier, if it is pending.
     pub(crate) fn finish_by_id(&mut self, id: &RequestId) {
         if let Some(key) = self.key(id) {
             self.finish(key);
         }
     }
 
-    /// All attempts in flight, in the order of their requests.
+    /// All attempts in flight, in the order in which their requests arrived.
     pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = AttemptInFlight<'_>> {
         self.iter().flat_map(|(key, request)| {
             let attempts = request.attempts().iter().enumerate();
@@ -95,7 +92,7 @@
         })
     }
 
-    /// For each of so many endpoints, how many attempts in flight match.
+    /// Counts the matching attempts in flight by endpoint, for the endpoint keys below `endpoints`.
     pub(crate) fn count_by_endpoint(
         &self,
         endpoints: usize,
@@ -109,12 +106,13 @@
         counts
     }
 
-    /// The attempt whose end a result reports.
+    /// The attempt that a result belongs to.
     pub(crate) fn attempt(&self, result: &AttemptResult) -> Option<&Attempt> {
         self.get(self.key(&result.id)?)?.attempts().get(result.attempt)
     }
 
-    /// Marks an attempt as ended. Returns it as it was while in flight, unless it had ended before.
+    /// Marks an attempt as ended. Returns its state before the end, or `None` if it is not known or has
+    /// already ended.
     pub(crate) fn end_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
         let key = self.key(&result.id)?;
         let request = self.get_mut(key)?;
@@ -122,7 +120,7 @@
         Some(EndedAttempt { key, class: request.class(), attempt })
     }
 
-    /// All pending requests in the order of their arrival.
+    /// All pending requests, in order of arrival.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (RequestKey, &PendingRequest)> {
         self.requests.iter().map(|(key, request)| (*key, request))
     }
--- a/src/policy/request/table/tests.rs
+++ b/src/policy/request/table/tests.rs
@@ -4,7 +4,7 @@
 use crate::time::tests::at;
 
 fn add_attempt(table: &mut RequestTable, key: RequestKey, attempt: Attempt) {
-    table.get_mut(key).expect("it is in the table").add_attempt(attempt);
+    table.get_mut(key).expect("request is in the table").add_attempt(attempt);
 }
 
 #[test]
@@ -14,10 +14,10 @@
     add_attempt(&mut table, key, Attempt::new(7, at(1.0)));
     table.finish_by_id(&RequestId::from("a"));
     assert!(table.get(key).is_some() && table.unfinished_mut(key).is_none());
-    let request = table.get_mut(key).expect("it is still there");
+    let request = table.get_mut(key).expect("request is kept while an attempt is in flight");
     assert!(request.end_attempt(0, Outcome::Success).is_some());
-    assert!(request.end_attempt(0, Outcome::Success).is_none(), "it has ended");
-    assert!(request.end_attempt(1, Outcome::Success).is_none(), "there is none");
+    assert!(request.end_attempt(0, Outcome::Success).is_none(), "already ended");
+    assert!(request.end_attempt(1, Outcome::Success).is_none(), "no such attempt");
     table.finish(key);
     assert!(table.get(key).is_none() && table.key(&RequestId::from("a")).is_none());
 }
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -2,7 +2,8 @@
 use crate::interface::Event;
 use crate::time::tests::{at, secs};
 
-/// A request of this class for group 0, received at 0 s, with an objective at 0.5 s and a deadline at 1 s.
+/// A request for group 0, received at 0 s, whose latency objective expires at 0.5 s and whose deadline is at
+/// 1 s.
 pub(crate) fn pending(id: &str, class: usize) -> PendingRequest {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
     let context = RequestContext {
@@ -17,13 +18,13 @@
 }
 
 #[test]
-fn the_risk_of_a_repeat_counts_from_the_first_attempt_that_may_have_run() {
+fn possible_execution_counts_from_the_earliest_attempt_not_proven_unexecuted() {
     let mut request = pending("a", 0);
     assert_eq!(request.possibly_executed_since(), None);
     request.add_attempt(Attempt::new(0, at(1.0)));
     assert_eq!(request.possibly_executed_since(), Some(at(1.0)), "in flight");
     request.end_attempt(0, Outcome::Overloaded);
-    assert_eq!(request.possibly_executed_since(), None, "proven not to have run");
+    assert_eq!(request.possibly_executed_since(), None, "proven not to be executed");
     request.add_attempt(Attempt::new(0, at(2.0)));
     request.add_attempt(Attempt::new(1, at(3.0)));
     request.end_attempt(2, Outcome::ConnectionReset);
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn attempts_that_were_not_sent_leave_a_request_without_an_endpoint() {
+fn a_failed_connection_counts_as_tried_but_not_as_reached() {
     let mut request = pending("a", 0);
     request.add_attempt(Attempt::new(0, at(1.0)));
     assert!(!request.has_reached_no_endpoint() && request.has_tried(0) && !request.has_tried(1));
@@ -42,18 +43,18 @@
 }
 
 #[test]
-fn cancellation_and_silence_are_remembered_until_the_attempt_ends() {
+fn cancellation_and_counted_silence_are_kept_until_the_attempt_ends() {
     let mut request = pending("a", 0);
     request.add_attempt(Attempt::new(0, at(1.0)));
-    let attempt = request.attempt_mut(0).expect("it was added");
+    let attempt = request.attempt_mut(0).expect("attempt was added");
     attempt.cancel();
     assert!(attempt.is_cancelled() && !attempt.is_silence_counted());
     attempt.count_silence();
     attempt.cancel();
     assert!(attempt.is_cancelled() && attempt.is_silence_counted() && attempt.is_in_flight());
-    let ended = request.end_attempt(0, Outcome::Cancelled).expect("it was in flight");
+    let ended = request.end_attempt(0, Outcome::Cancelled).expect("attempt was in flight");
     assert!(ended.is_cancelled() && ended.is_silence_counted());
-    assert!(request.end_attempt(0, Outcome::Success).is_none(), "it has ended");
+    assert!(request.end_attempt(0, Outcome::Success).is_none(), "already ended");
 }
 
 #[test]
@@ -63,5 +64,5 @@
     request.leave_queue();
     assert!(request.enter_queue());
     request.add_attempt(Attempt::new(0, at(1.0)));
-    assert!(request.enter_queue(), "one that was sent is in no queue");
+    assert!(request.enter_queue(), "a request that was sent is not queued");
 }
