--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -1,28 +1,29 @@
-//! Retries: whether a request may be sent once more, and until when.
+//! Retries: whether another attempt of a request is allowed, and by when it must be answered.
 //!
-//! The rules, in the order in which they are checked after an attempt has ended, with the reason for each:
+//! After an attempt has ended, these conditions are checked in order. If one does not hold, the request is
+//! given up for the reason in the last column:
 //!
-//! | Rule | Function | Reason |
+//! | Condition | Function | Reason |
 //! | --- | --- | --- |
-//! | The primary has not rejected it as overloaded | [`charge_retry`] | `PrimaryOverloaded` |
-//! | If the attempt may have run, the budget has a token | [`charge_retry`] | `RetryBudgetExhausted` |
+//! | The primary did not reject the attempt as overloaded | [`charge_retry`] | `PrimaryOverloaded` |
+//! | It provably did not execute, or the budget has a token | [`charge_retry`] | `RetryBudgetExhausted` |
 //! | Fewer attempts are in flight than 1, or 2 with hedging | [`next_attempt`] | `TooManyInFlight` |
 //! | Fewer attempts were made than `max_attempts` | [`next_attempt`] | `AttemptsExhausted` |
-//! | No attempt may have run, or a repeat is harmless | [`next_attempt`] | `UnsafeRepeat` |
-//! | An answer would still be of use | [`check_dispatch`] | `AnswerTooLate` |
-//! | The final answer is not due | [`check_dispatch`] | `DeadlineReached` |
+//! | No attempt may have been executed, or a repeat is harmless | [`next_attempt`] | `UnsafeRepeat` |
+//! | An answer would still be useful | [`check_dispatch`] | `AnswerTooLate` |
+//! | The final answer is not due yet | [`check_dispatch`] | `DeadlineReached` |
 //!
-//! An attempt in flight counts as one that may have run. A repeat is harmless if the class is idempotent,
-//! or if its requests carry an idempotency key and the deduplication window allows it: the window counts
-//! from the first attempt that may have run. A repeat starts before the end of the window less the longer
-//! of `connect_timeout` and [`MAX_PROCESS_PAUSE`], and must be answered by the earlier of the deadline and
-//! the end of the window less [`MAX_PROCESS_PAUSE`]. An answer is of use until the deadline, or until the
-//! latency objective if the class gives late answers no weight.
+//! An attempt in flight counts as possibly executed. A repeat is harmless if the class is idempotent, or if
+//! its requests carry an idempotency key and the deduplication window is still open. The window starts when
+//! the first possibly executed attempt was sent. A repeat must be sent before the end of the window minus
+//! the longer of `connect_timeout` and [`MAX_PROCESS_PAUSE`], and must be answered by the deadline or by the
+//! end of the window minus [`MAX_PROCESS_PAUSE`], whichever is earlier. An answer is useful until the
+//! deadline, or until the latency objective expires if the class gives late answers no weight.
 //!
-//! [`next_attempt`] is checked once more where an attempt is sent. After the first two rules, a request
-//! that has another attempt in flight (a hedged one) waits for that; by them it is given up all the same. A
-//! token that was taken is not given back if a later rule forbids the retry. A hedged request always costs
-//! a token, see [`replacement`].
+//! [`next_attempt`] is checked again whenever an attempt is sent. If one of the first two conditions fails,
+//! the request is given up even while its other attempt (of a hedged request) is in flight; the remaining
+//! conditions are only checked once no attempt is in flight. A withdrawn token is not returned if a later
+//! condition forbids the retry. Hedging always costs a token, see [`replacement`].
 
 mod budget;
 
@@ -36,31 +37,31 @@
 use crate::time::{LocalInstant, Span};
 pub(crate) use budget::RetryBudget;
 
-/// How long the process may be suspended between a decision and the write that follows from it.
+/// How long the process may be suspended between a decision and the resulting network write.
 const MAX_PROCESS_PAUSE: Span = Span::from_secs(0.15);
-/// Only this many attempts of a request are replaced when they take too long: the first ones.
+/// How many attempts of a request may be replaced when overdue, counted from the first.
 const MAX_REPLACED_ATTEMPTS: usize = 3;
 
-/// Why a request may not have another attempt.
+/// Why a request is denied another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptDenied {
-    /// As many attempts are in flight as the settings allow.
+    /// The settings allow no more attempts in flight.
     TooManyInFlight,
-    /// All attempts that the settings allow were made.
+    /// `max_attempts` were made.
     AttemptsExhausted,
-    /// An earlier attempt may have been executed, and a repeat could take effect twice.
+    /// An earlier attempt may have been executed, so a repeat could execute the request twice.
     UnsafeRepeat,
 }
 
-/// Until when a request may be repeated that may have been executed.
+/// Until when a possibly executed request may be repeated.
 enum RepeatLimit {
     Always,
     Until(LocalInstant),
     Never,
 }
 
-/// Whether the attempts so far allow one more now. Returns the time by which that must be answered: the
-/// deadline, or the end of the deduplication window if that is earlier.
+/// Checks whether the attempts so far allow another one now. Returns the time by which it must be answered:
+/// the deadline, or [`MAX_PROCESS_PAUSE`] before the end of the deduplication window if that is earlier.
 pub(crate) fn next_attempt(
     request: &PendingRequest,
     cluster: &Cluster,
@@ -82,8 +83,9 @@
     }
 }
 
-/// A repeat must reach its endpoint within the deduplication window: neither the time to connect nor a
-/// pause of the process may delay it until later.
+/// Checks whether a repeat is certain to reach its endpoint within the deduplication window, even if
+/// connecting takes as long as allowed or the process is suspended. Returns the time by which it must be
+/// answered.
 fn answer_deadline_within_window(
     request: &PendingRequest,
     window_end: LocalInstant,
@@ -104,7 +106,8 @@
     }
 }
 
-/// Whether a request without attempts in flight may be sent now, or why it has to be given up.
+/// Checks whether a request without attempts in flight may be sent now. Returns the reason to give it up if
+/// not.
 pub(crate) fn check_dispatch(request: &PendingRequest, cluster: &Cluster) -> Result<(), GiveUpReason> {
     next_attempt(request, cluster).map_err(GiveUpReason::AttemptDenied)?;
     let useful_until = request.useful_until(cluster.class(request.class()));
@@ -117,19 +120,20 @@
     Ok(())
 }
 
-/// The final answer is due a tick before the deadline: nothing that is sent then could be answered in time.
+/// Whether the final answer is due: one tick before the deadline, after which no attempt could be answered in
+/// time.
 fn is_final_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
     cluster.now() + cluster.settings().tick >= request.context().deadline
 }
 
-/// Takes the retry that follows an attempt with this outcome from the budget, if the attempt may have been
-/// executed.
+/// Withdraws a token from the retry budget for the retry after an attempt with this outcome. A retry of an
+/// attempt that is proven not to be executed is free.
 pub(crate) fn charge_retry(
     outcome: Outcome,
     is_at_primary: bool,
     budget: &mut RetryBudget,
 ) -> Result<(), GiveUpReason> {
-    // This costs no token: a retry would find the primary as overloaded.
+    // Checked before the withdrawal: the retry would meet the same overload, so it is not made.
     if is_at_primary && outcome == Outcome::Overloaded {
         return Err(GiveUpReason::PrimaryOverloaded);
     }
@@ -139,25 +143,25 @@
     Ok(())
 }
 
-/// Whether a queued request may be sent to find out which endpoint is the primary: a write that was not
-/// executed, since an endpoint that is not the primary rejects it without executing it.
+/// Whether a queued request may be sent to an endpoint that might be the primary, to find out whether it is.
+/// This takes a write that was not executed: a replica rejects writes without executing them.
 pub(crate) fn may_discover_primary(request: &PendingRequest, cluster: &Cluster) -> bool {
     let is_write = cluster.class(request.class()).is_write();
     let is_unexecuted = request.possibly_executed_since().is_none() && next_attempt(request, cluster).is_ok();
     is_write && is_unexecuted && !request.is_finished() && !is_final_answer_due(request, cluster)
 }
 
-/// What replaces an attempt that takes too long.
+/// How an overdue attempt is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Replacement {
-    /// A second attempt beside it: a hedged request.
+    /// A second attempt is sent while the first stays in flight: a hedged request.
     Hedge,
-    /// It is cancelled, which leads to a retry.
+    /// The attempt is cancelled, and its request is retried once the cancellation is reported.
     CancelAndRetry,
 }
 
-/// How an attempt that takes too long is to be replaced, if that is safe, is allowed and could still be
-/// answered in time.
+/// Decides how to replace an overdue attempt. Returns `None` if that is unsafe, if the settings, the retry
+/// budget or the limits on attempts forbid it, or if the replacement would not be answered in time.
 pub(crate) fn replacement(
     request: &PendingRequest,
     number: usize,
@@ -180,7 +184,8 @@
     may_cancel.then_some(Replacement::CancelAndRetry)
 }
 
-/// Only a lost answer is worth replacing after the latency objective: any other may still come.
+/// Whether a replacement could be answered in time. Only a lost answer is replaced after the latency
+/// objective has expired, since any other answer may still arrive.
 fn has_time_to_replace(
     request: &PendingRequest,
     cause: OverdueCause,
@@ -196,16 +201,16 @@
     useful_until - cluster.now() > mean_latency
 }
 
-/// Strong reads are not hedged: only the primary answers them.
+/// Whether requests of this class may be hedged. Strong reads are not, since only the primary serves them.
 fn allows_hedging(class: &RequestClass, settings: &Settings) -> bool {
     settings.hedging && class.consistency != Consistency::Strong
 }
 
-/// Whether its client may send a request again that the pooler has given up.
+/// Whether it is safe for the client to retry a request that the pooler has given up.
 pub(crate) fn is_client_retry_safe(request: &PendingRequest, class: &RequestClass) -> bool {
     let is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
-        // The client's retry may reach an endpoint that does not share the keys of this group.
+        // The client's retry may reach an endpoint outside the group, which does not know the group's keys.
         Idempotency::IdempotencyKey => class.deduplication_scope == DeduplicationScope::AnyEndpoint,
         Idempotency::NonIdempotent => false,
     };
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -5,11 +5,11 @@
 use crate::policy::request::Attempt;
 use crate::time::tests::{at, secs};
 
-/// Class of reads whose repeats are harmless.
+/// Index of a class of idempotent reads.
 const IDEMPOTENT: usize = 0;
-/// Class of writes with an idempotency key and a window of 0.6 s.
+/// Index of a class of writes with an idempotency key and a deduplication window of 0.6 s.
 const KEYED: usize = 1;
-/// Class of writes that must not be repeated.
+/// Index of a class of writes that must not be repeated.
 const NON_IDEMPOTENT: usize = 2;
 
 fn cluster(now: f64, change: impl FnOnce(&mut Settings)) -> Cluster {
@@ -34,7 +34,7 @@
     cluster
 }
 
-/// A request whose first attempt was sent at 0.1 s and ended in this way, if it has ended.
+/// A request whose only attempt was sent at 0.1 s; it ended with the outcome, or is in flight without one.
 fn attempted(class: usize, outcome: Option<Outcome>) -> PendingRequest {
     let mut request = pending("a", class);
     request.add_attempt(Attempt::new(0, at(0.1)));
@@ -49,7 +49,7 @@
 #[case::inside_the_window(KEYED, 0.44, Ok(at(0.1) + secs(0.6) - MAX_PROCESS_PAUSE))]
 #[case::no_time_to_connect_inside_the_window(KEYED, 0.46, Err(AttemptDenied::UnsafeRepeat))]
 #[case::non_idempotent(NON_IDEMPOTENT, 0.2, Err(AttemptDenied::UnsafeRepeat))]
-fn what_may_have_run_is_repeated_as_its_class_allows(
+fn a_possibly_executed_request_is_repeated_as_its_class_allows(
     #[case] class: usize,
     #[case] now: f64,
     #[case] expected: Result<LocalInstant, AttemptDenied>,
@@ -59,7 +59,7 @@
 }
 
 #[rstest]
-fn what_was_not_executed_is_repeated_until_the_deadline(
+fn a_request_that_was_not_executed_is_repeated_until_the_deadline(
     #[values(IDEMPOTENT, KEYED, NON_IDEMPOTENT)] class: usize,
     #[values(Outcome::Overloaded, Outcome::ConnectFailed, Outcome::Ineligible)] outcome: Outcome,
 ) {
@@ -69,14 +69,14 @@
     assert_eq!(
         check_dispatch(&request, &last_tick),
         Err(GiveUpReason::AnswerTooLate),
-        "late reads and writes"
+        "late answers have no weight"
     );
     let late_counts = cluster(0.996, |settings| settings.classes[class].late_weight = 0.5);
     assert_eq!(check_dispatch(&request, &late_counts), Err(GiveUpReason::DeadlineReached));
 }
 
 #[test]
-fn attempts_in_flight_and_in_all_are_limited() {
+fn attempts_in_flight_and_in_total_are_limited() {
     let in_flight = attempted(IDEMPOTENT, None);
     assert_eq!(next_attempt(&in_flight, &cluster(0.2, |_| ())), Err(AttemptDenied::TooManyInFlight));
     let hedging = cluster(0.2, |settings| settings.hedging = true);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn only_retries_of_what_may_have_run_use_up_the_budget() {
+fn only_retries_of_possibly_executed_attempts_use_the_budget() {
     let mut budget = RetryBudget::new();
     for _ in 0..100 {
         assert_eq!(charge_retry(Outcome::Ineligible, true, &mut budget), Ok(()));
@@ -98,7 +98,7 @@
     }
     assert_eq!(charge_retry(Outcome::Overloaded, true, &mut budget), Err(GiveUpReason::PrimaryOverloaded));
     let retries = (0..100).filter(|_| charge_retry(Outcome::Error, false, &mut budget).is_ok()).count();
-    assert_eq!(retries, 10, "half of the largest budget");
+    assert_eq!(retries, 10, "half of the capacity");
     assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Err(GiveUpReason::RetryBudgetExhausted));
     (0..11).for_each(|_| budget.deposit());
     assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Ok(()));
@@ -123,15 +123,15 @@
         |budget: &RetryBudget, cluster: &Cluster| replacement(&request, 0, cause, &latency, budget, cluster);
     let budget = RetryBudget::new();
     assert_eq!(replaced(&budget, &cluster(0.3, |_| ())), expected);
-    assert_eq!(replaced(&budget, &cluster(0.46, |_| ())), None, "an answer would be late");
+    assert_eq!(replaced(&budget, &cluster(0.46, |_| ())), None, "the answer would be late");
     assert_eq!(replaced(&budget, &cluster(0.3, |settings| settings.cancellation = false)), None);
     let mut empty = RetryBudget::new();
     while empty.withdraw() {}
-    assert_eq!(replaced(&empty, &cluster(0.3, |_| ())), None, "no budget");
+    assert_eq!(replaced(&empty, &cluster(0.3, |_| ())), None, "no token");
 }
 
 #[test]
-fn a_hedged_request_needs_no_silence() {
+fn a_request_is_hedged_while_its_endpoint_still_answers() {
     let request = attempted(IDEMPOTENT, None);
     let cause = OverdueCause { is_endpoint_silent: false, is_answer_lost: false };
     let latency = LatencyEstimator::new(secs(0.05));
@@ -145,7 +145,7 @@
 #[case::keyed(KEYED, Outcome::Timeout, false)]
 #[case::non_idempotent(NON_IDEMPOTENT, Outcome::Error, false)]
 #[case::never_executed(NON_IDEMPOTENT, Outcome::Overloaded, true)]
-fn clients_may_retry_what_is_harmless(
+fn clients_may_retry_where_a_repeat_is_harmless(
     #[case] class: usize,
     #[case] outcome: Outcome,
     #[case] expected: bool,
