--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -1,11 +1,12 @@
-//! Giving up: why a request is not sent any further, and which final answer it gets.
+//! Giving up: why no further attempt of a request is made, and which final answer the request gets.
 //!
-//! A request is rejected where a retry by its client is harmless ([`retry::is_client_retry_safe`]), with a
-//! Retry-After if the settings allow one. Otherwise it fails: it may have been executed. The reason is
-//! named at each place that gives up; it stands in no log line and in no counter, but for load shedding.
+//! A request is rejected if a retry by its client is safe ([`retry::is_client_retry_safe`]), with a
+//! Retry-After if the settings allow one. Otherwise it fails, since it may have been executed. Each caller
+//! names its reason. The reason is neither logged nor counted, except that load shedding is logged.
 //!
-//! Rejected without this module: queries that arrive while the process drains (`net::shutdown`), queries for
-//! which there is no memory, and requests of a class that the settings do not have.
+//! Some rejections bypass this module: those of queries that arrive while the process drains
+//! (`net::shutdown`), of queries for which there is no memory, and of requests of a class that is not in the
+//! settings.
 
 use fastrand::Rng;
 
@@ -17,40 +18,41 @@
 use crate::settings::RequestClass;
 use crate::time::Span;
 
-/// Mean Retry-After as a share of the latency objective: short, so that the retry still falls within it.
+/// Mean Retry-After as a share of the latency objective: short enough for the retry to meet the objective.
 const RETRY_AFTER_SHARE: f64 = 0.12;
 
 /// Why a request is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum GiveUpReason {
-    /// It has waited for its group's primary as long as it may.
+    /// It had reached no endpoint by the end of its queue time, such as while its group has no primary.
     QueueTimeout,
-    /// Its deadline is reached.
+    /// Its final answer is due, just before the deadline.
     DeadlineReached,
-    /// An answer would come after the latency objective, and its class gives no weight to that.
+    /// The latency objective has expired, and its class gives late answers no weight.
     AnswerTooLate,
-    /// It may not have another attempt.
+    /// Another attempt is not allowed.
     AttemptDenied(AttemptDenied),
-    /// It may have been executed, and the retry budget is used up.
+    /// The last attempt may have been executed, and the retry budget has no token.
     RetryBudgetExhausted,
-    /// The primary has rejected it as overloaded, and would reject a retry too.
+    /// The primary rejected it as overloaded, and would reject a retry as well.
     PrimaryOverloaded,
-    /// No endpoint is predicted to answer it in time.
+    /// No usable endpoint is predicted to answer in time.
     NoCapacity,
-    /// No endpoint of its group may take it: none is usable, all were tried, or the group is not known.
+    /// Its group has no endpoint for it: none is usable, all were tried, or the group is not known.
     NoEndpoint,
-    /// Other queries wait behind it on a connection, and the process may be killed before it is answered.
+    /// The process may be killed before it is answered, and other queries wait behind it on its connection.
     Shutdown,
 }
 
 impl GiveUpReason {
-    /// Whether the rejection counts as load shedding in the log.
+    /// Whether the operator's log reports giving up for this reason as load shedding.
     pub(crate) fn is_load_shedding(self) -> bool {
         matches!(self, GiveUpReason::NoCapacity | GiveUpReason::NoEndpoint)
     }
 }
 
-/// The final answer to a request that is given up.
+/// Returns the final answer to a request that is given up: a rejection if a retry by the client is safe, else
+/// a failure.
 pub(crate) fn final_answer(request: &PendingRequest, cluster: &Cluster, rng: &mut Rng) -> Action {
     let id = request.id().clone();
     let class = cluster.class(request.class());
@@ -63,8 +65,8 @@
     Action::Reject { id, retry_after }
 }
 
-/// The mean Retry-After: short while a retry can still be answered within the latency objective, and as long
-/// as the deadline once no answer has any weight.
+/// The mean Retry-After: the deadline of the class if the latency objective has expired (or is about to) and
+/// late answers have no weight; otherwise a short time.
 fn mean_retry_after(request: &PendingRequest, class: &RequestClass, cluster: &Cluster) -> Span {
     let is_late = cluster.now() >= request.context().objective_expires_at - cluster.settings().tick;
     if is_late && class.late_weight == 0.0 {
--- a/src/policy/give_up/tests.rs
+++ b/src/policy/give_up/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_may_have_run_and_must_not_be_repeated_fails() {
+fn a_possibly_executed_request_that_must_not_be_repeated_fails() {
     let mut request = pending("a", 0);
     request.add_attempt(Attempt::new(0, at(0.1)));
     let cluster = cluster(0.2, settings(Idempotency::NonIdempotent));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_retry_after_is_short_until_the_objective_and_long_from_then_on() {
+fn the_retry_after_is_short_until_the_objective_expires_and_long_afterwards() {
     let short = secs(0.03)..secs(0.09);
     let long = secs(0.5)..secs(1.5);
     let idempotent = || settings(Idempotency::Idempotent);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_lack_of_capacity_or_of_endpoints_counts_as_load_shedding() {
+fn missing_capacity_or_endpoints_count_as_load_shedding() {
     assert!(GiveUpReason::NoCapacity.is_load_shedding() && GiveUpReason::NoEndpoint.is_load_shedding());
     assert!(!GiveUpReason::QueueTimeout.is_load_shedding() && !GiveUpReason::Shutdown.is_load_shedding());
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -1,4 +1,4 @@
-//! Attempts that take too long: which endpoints are silent, and which answers are lost.
+//! Detection of overdue attempts, and of whether the endpoint is silent or the answer is lost.
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey};
@@ -6,38 +6,36 @@
 use crate::policy::request::{AttemptInFlight, RequestKey, RequestTable};
 use crate::settings::Idempotency;
 
-/// An attempt is overdue at this many deviations above the mean latency ...
+/// An attempt is overdue beyond this many deviations above the mean latency of its class ...
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// ... or at this share of its latency objective, which leaves time for a retry within it.
+/// ... or beyond this share of its latency objective, so that a retry can still meet the objective.
 const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
-/// An endpoint counts as silent if it has answered nothing since an attempt that is this late.
+/// An endpoint is silent if it has sent no response since an attempt that is this many deviations above the
+/// mean.
 const SILENT_DEVIATIONS: f64 = 6.0;
 
-/// What an attempt that takes too long shows.
+/// Why an attempt is overdue. If neither applies, it is merely slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OverdueCause {
-    /// The endpoint has answered nothing since the attempt was sent.
+    /// The endpoint has sent no response since the attempt was sent.
     pub(crate) is_endpoint_silent: bool,
-    /// The endpoint has long answered later attempts: this answer is lost.
+    /// The answer is taken to be lost: the endpoint has answered attempts that were sent much later.
     pub(crate) is_answer_lost: bool,
 }
 
-/// An attempt that takes too long.
+/// An overdue attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverdueAttempt {
-    /// Its request.
     pub(crate) request: RequestKey,
-    /// Its number among the attempts of the request.
+    /// Its index among the attempts of the request.
     pub(crate) number: usize,
-    /// Where it was sent.
     pub(crate) endpoint: EndpointKey,
-    /// What the delay shows.
     pub(crate) cause: OverdueCause,
-    /// How many attempts at its endpoint are late of those sent since its last answer.
+    /// How many attempts at its endpoint are late, of those sent since the endpoint's last response.
     pub(crate) late_attempts: u32,
 }
 
-/// All attempts that take too long, unless the silence of their endpoint has been counted.
+/// Returns all overdue attempts, except those whose endpoint's silence was already counted.
 pub(crate) fn overdue_attempts(
     requests: &RequestTable,
     admission: &Admission,
@@ -54,7 +52,7 @@
     overdue.collect()
 }
 
-/// For each endpoint, how many attempts are late of those sent since its last answer.
+/// Counts the late attempts of each endpoint, of those sent since its last response.
 fn count_late_attempts(requests: &RequestTable, admission: &Admission, cluster: &Cluster) -> Vec<u32> {
     requests.count_by_endpoint(cluster.endpoints().slots(), |in_flight| {
         let AttemptInFlight { request, attempt, .. } = in_flight;
@@ -79,7 +77,7 @@
     }
     let silent_after = latency.upper(SILENT_DEVIATIONS);
     let endpoint = cluster.endpoint(attempt.endpoint());
-    // Only writes: the latency of reads varies too much to tell a lost answer from a slow one.
+    // Only for writes: the latency of reads varies too much to tell a lost answer from a slow one.
     let may_be_lost = class.idempotency == Idempotency::IdempotencyKey;
     let served_sent_at = endpoint.latest_served_sent_at();
     let is_overtaken = served_sent_at.is_some_and(|sent_at| sent_at - attempt.sent_at() > silent_after);
