--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -1,7 +1,9 @@
-//! Read-your-writes consistency: the log position that the reads of a session have to see.
+//! Read-your-writes consistency: the log position that an endpoint must have reached to serve a session's
+//! reads.
 //!
-//! Clients carry the age of their session's last write with each read, or the pooler remembers the commits of
-//! each session, as the settings say. Where it cannot know of a write, any session may have written.
+//! Depending on the settings, clients send the age of their session's last write with each read, or the
+//! pooler records the commits of each session. For a time of which it has no record, such as before a
+//! restart, it assumes that any session may have written.
 
 mod table;
 
@@ -15,26 +17,27 @@
 use crate::time::{LocalInstant, LogPosition, Span};
 use table::SessionTable;
 
-/// Number of remembered writes; a forgotten session counts as having written when the latest of them did.
+/// Limit of recorded writes. A session whose writes were evicted is assumed to have written as late as the
+/// latest evicted write.
 const MAX_RECORDED_WRITES: usize = 20_000;
-/// Age after which a write is forgotten, far beyond the lag of any replica.
+/// Age at which a recorded write is evicted, far longer than the lag of any replica.
 const MAX_WRITE_AGE: Span = Span::from_secs(60.0);
 
-/// What the pooler knows of the writes of sessions.
+/// Determines the session tokens of reads, and records the writes of sessions for that.
 #[derive(Default)]
 pub(crate) struct SessionTracker {
     commits: SessionTable,
-    /// Any session may have written until then, although no write of it is remembered.
+    /// Any session may have written until this time without a record of the write.
     unknown_writes_until: Option<LocalInstant>,
 }
 
 impl SessionTracker {
-    /// Notes that writes until this time are not known, as after a restart: any session may have written.
+    /// Assumes that any session may have written until `now`, as after a restart, which loses the records.
     pub(crate) fn assume_writes_until(&mut self, now: LocalInstant) {
         self.unknown_writes_until = Some(now);
     }
 
-    /// The position that a request has to see as a read of its session. `pending` are the requests in
+    /// The log position that a request must see if it is a session read. `pending` holds the requests in
     /// progress.
     pub(crate) fn token(
         &self,
@@ -48,18 +51,19 @@
         if cluster.settings().session_tokens_carried {
             return carried_token(request, cluster.now());
         }
-        // A write of the session that is in flight may have been executed already.
+        // A write of this session that is in flight may already have been executed.
         if has_write_in_flight(request.session.as_ref(), pending, cluster) {
             return freshness::position_at(cluster, cluster.now());
         }
-        let remembered = RequiredPosition::from(self.commits.last_commit(request.session.as_ref()));
+        let recorded = RequiredPosition::from(self.commits.last_commit(request.session.as_ref()));
         match self.unknown_writes_until {
-            Some(until) => remembered.max(freshness::position_at(cluster, until)),
-            None => remembered,
+            Some(until) => recorded.max(freshness::position_at(cluster, until)),
+            None => recorded,
         }
     }
 
-    /// Remembers the commit of a write. One whose commit is unknown was committed before now at the latest.
+    /// Records the commit of a write that may have been executed. If its log position is not known, the
+    /// present is recorded, since the commit cannot be later.
     pub(crate) fn record_write(
         &mut self,
         request: &PendingRequest,
@@ -74,7 +78,7 @@
         let latest = freshness::position_at(cluster, cluster.now());
         match reported_commit(result, cluster).map_or(latest, RequiredPosition::AtLeast) {
             RequiredPosition::AtLeast(commit) => self.commits.record(session.clone(), commit),
-            // The clock of the endpoints is not known yet.
+            // The endpoints' clock is not known yet, so that the present has no log position.
             RequiredPosition::Any | RequiredPosition::Unknown => {
                 self.unknown_writes_until = Some(cluster.now());
             }
@@ -83,7 +87,7 @@
     }
 }
 
-/// The token that a client carries with a read, dated by the pooler's clock.
+/// The session token that the client sent with a read, as a time on the pooler's clock.
 fn carried_token(request: &Request, now: LocalInstant) -> RequiredPosition {
     let written_at = request.session_token_age.map(|age| now - age);
     RequiredPosition::from(written_at.map(|instant| instant.to_cluster(Span::ZERO)))
@@ -96,7 +100,8 @@
     })
 }
 
-/// The commit that an endpoint reported for a write.
+/// The commit position that an endpoint reported for a write, if the write succeeded and the position is
+/// credible.
 fn reported_commit(result: &AttemptResult, cluster: &Cluster) -> Option<LogPosition> {
     let position = result.log_position.filter(|_| result.outcome == Outcome::Success)?;
     cluster.clock().is_credible(position, cluster.now()).then_some(position)
--- a/src/policy/session/table.rs
+++ b/src/policy/session/table.rs
@@ -1,41 +1,43 @@
-//! The last commits of sessions.
+//! The last commit of each session.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use crate::time::LogPosition;
 
-/// A write of a session that is remembered.
+/// A recorded write of a session.
 struct SessionWrite {
     session: Arc<str>,
     commit: LogPosition,
 }
 
-/// The last commit of each session that wrote recently.
+/// The last commit of each session with a recent write.
 #[derive(Default)]
 pub(crate) struct SessionTable {
     last_commits: HashMap<Arc<str>, LogPosition>,
-    /// Every write, in the order in which they were remembered.
+    /// All recorded writes, in the order in which they were recorded.
     writes: VecDeque<SessionWrite>,
-    /// Sessions that are not in the table may have written until then.
+    /// The latest commit of an evicted session: a session that is not in the table may have written until
+    /// this time.
     evicted_until: Option<LogPosition>,
 }
 
 impl SessionTable {
-    /// The latest commit that a session may have made.
+    /// The latest commit that a session may have made; `None` if it cannot have written.
     pub(crate) fn last_commit(&self, session: Option<&Arc<str>>) -> Option<LogPosition> {
         let known = session.and_then(|session| self.last_commits.get(session));
         known.copied().or(self.evicted_until)
     }
 
-    /// Remembers a commit.
+    /// Records a commit. Commits may be recorded out of order.
     pub(crate) fn record(&mut self, session: Arc<str>, commit: LogPosition) {
         let last = self.last_commits.entry(session.clone()).or_insert(commit);
         *last = commit.max(*last);
         self.writes.push_back(SessionWrite { session, commit });
     }
 
-    /// Forgets the oldest writes, down to so many and those since `horizon`.
+    /// Evicts writes in the order of recording, until at most `max_writes` are left and the first of those is
+    /// not older than `horizon`.
     pub(crate) fn evict(&mut self, max_writes: usize, horizon: LogPosition) {
         while let Some(oldest) = self.writes.front() {
             if self.writes.len() <= max_writes && oldest.commit >= horizon {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// From now on any session that is not known may have written until this time.
+    /// Assumes that any session that is not in the table may have written until `time`.
     fn assume_writes_until(&mut self, time: LogPosition) {
         self.evicted_until = self.evicted_until.max(Some(time));
     }
--- a/src/policy/session/table/tests.rs
+++ b/src/policy/session/table/tests.rs
@@ -6,14 +6,14 @@
 }
 
 #[test]
-fn a_session_without_a_write_has_seen_nothing() {
+fn a_session_without_a_write_has_no_last_commit() {
     let table = SessionTable::default();
     assert_eq!(table.last_commit(Some(&session("a"))), None);
     assert_eq!(table.last_commit(None), None);
 }
 
 #[test]
-fn the_latest_commit_counts_whatever_the_order() {
+fn the_latest_commit_counts_in_any_order_of_recording() {
     let mut table = SessionTable::default();
     table.record(session("a"), cluster(2.0));
     table.record(session("a"), cluster(1.0));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_forgotten_session_may_have_written_as_late_as_any_forgotten() {
+fn an_evicted_session_may_have_written_as_late_as_any_evicted_one() {
     let mut table = SessionTable::default();
     table.record(session("a"), cluster(1.0));
     table.record(session("b"), cluster(2.0));
@@ -29,21 +29,21 @@
     table.evict(1, cluster(0.0));
     assert_eq!(table.last_commit(Some(&session("c"))), Some(cluster(3.0)));
     assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(2.0)));
-    assert_eq!(table.last_commit(Some(&session("never heard of"))), Some(cluster(2.0)));
+    assert_eq!(table.last_commit(Some(&session("unknown"))), Some(cluster(2.0)));
 }
 
 #[test]
-fn commits_before_the_horizon_are_forgotten() {
+fn commits_before_the_horizon_are_evicted() {
     let mut table = SessionTable::default();
     table.record(session("a"), cluster(1.0));
     table.record(session("b"), cluster(2.0));
     table.evict(100, cluster(1.5));
-    assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(1.0)), "the floor for unknown sessions");
+    assert_eq!(table.last_commit(Some(&session("a"))), Some(cluster(1.0)), "latest evicted commit");
     assert_eq!(table.last_commit(Some(&session("b"))), Some(cluster(2.0)));
 }
 
 #[test]
-fn an_old_write_does_not_take_a_newer_one_with_it() {
+fn evicting_an_old_write_keeps_a_newer_one_of_the_session() {
     let mut table = SessionTable::default();
     table.record(session("a"), cluster(1.0));
     table.record(session("a"), cluster(2.0));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn after_a_restart_any_session_may_have_written() {
+fn assumed_writes_count_for_sessions_that_are_not_in_the_table() {
     let mut table = SessionTable::default();
     table.assume_writes_until(cluster(5.0));
     table.assume_writes_until(cluster(4.0));
