--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the policy: receipt, dispatch, attempts, and its end.
+//! The life cycle of a request: receipt, dispatch, attempts and the final answer.
 
 use crate::interface::{Action, AttemptResult, Outcome, Request, RequestId, StateChange};
 use crate::policy::cluster::EndpointKey;
@@ -12,13 +12,14 @@
 use crate::policy::{NoRoute, Policy, Route};
 use crate::time::Span;
 
-/// Share of its time that a request may wait unsent, which leaves its client time to retry elsewhere.
+/// Share of a request's timeout for which it may wait without reaching an endpoint. The rest leaves its client
+/// time to retry elsewhere.
 const QUEUE_TIME_SHARE: f64 = 0.5;
-/// A timer that expires at most so many ticks before the deadline is the one for the final answer.
+/// A timer that expires within this many ticks of the deadline is the one for the final answer.
 const FINAL_TIMER_TOLERANCE_TICKS: f64 = 2.0;
 
 impl Policy {
-    /// Takes in a request and sends it, queues it or gives it up.
+    /// Handles a new request: sends it, queues it or gives it up.
     pub(crate) fn request_received(&mut self, request: Request) {
         if request.class >= self.cluster.settings().classes.len() {
             self.actions.push(Action::Reject { id: request.id, retry_after: None });
@@ -31,12 +32,13 @@
         let final_answer_at = (context.deadline - self.cluster.settings().tick).max(now);
         let key = self.requests.insert(PendingRequest::new(request, context));
         self.actions.push(Action::SetTimer { at: queue_deadline, cookie: key });
-        // This timer guarantees a final answer just before the deadline.
+        // Guarantees a final answer just before the deadline.
         self.actions.push(Action::SetTimer { at: final_answer_at, cookie: key });
         self.dispatch(key);
     }
 
-    /// Counts a request towards the traffic of its group, and lets it earn retries and health checks.
+    /// Counts a request in the traffic of its group, and makes its deposits into the budgets of retries and
+    /// health checks.
     fn record_request(&mut self, request: &Request) {
         let now = self.cluster.now();
         let needs_primary = self.cluster.class(request.class).needs_primary();
@@ -51,7 +53,7 @@
     fn context_of(&mut self, request: &Request) -> RequestContext {
         let now = self.cluster.now();
         let class = self.cluster.class(request.class);
-        // A request cannot claim a longer deadline than its class has.
+        // The class limits the deadline that a request may ask for.
         let time_left = request.timeout.clamp(Span::ZERO, class.deadline);
         let work = request.predicted_work.unwrap_or_default();
         let objective = class.latency_objective + class.latency_objective_factor * work;
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Ends a request whose queue time or deadline is over. Each request has a timer for both.
+    /// Gives up a request whose final answer is due or whose queue time has expired. Each request has a timer
+    /// for both; the current time tells which one expired.
     pub(crate) fn request_timer_expired(&mut self, key: RequestKey) {
         let Some(request) = self.requests.unfinished_mut(key) else { return };
         let final_timer_tolerance = FINAL_TIMER_TOLERANCE_TICKS * self.cluster.settings().tick;
@@ -77,7 +80,7 @@
         }
     }
 
-    /// Gives up a request for which the process has no more time before it may be killed.
+    /// Gives up a request that must have its final answer before the process may be killed.
     pub(crate) fn shutdown_imminent(&mut self, id: &RequestId) {
         let Some(key) = self.requests.key(id) else { return };
         if self.requests.unfinished_mut(key).is_some() {
@@ -120,8 +123,8 @@
         }
     }
 
-    /// Starts an attempt. All attempts are started here. Sends nothing where the attempts so far forbid it or
-    /// the endpoint has moved to another group; the timers of the request end it then.
+    /// Starts an attempt; no attempt is started anywhere else. Does nothing if the earlier attempts forbid
+    /// another one or the endpoint has moved to another group; the request is then given up by its timers.
     pub(crate) fn send(&mut self, key: RequestKey, to: EndpointKey) {
         let now = self.cluster.now();
         let endpoint = self.cluster.endpoint(to);
@@ -138,7 +141,7 @@
         self.cluster.endpoint_mut(to).attempt_sent(now);
     }
 
-    /// Gives a request its final answer: a rejection where a retry by the client is harmless, else a failure.
+    /// Gives a request its final answer: a rejection if a retry by the client is safe, else a failure.
     pub(crate) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
         if reason.is_load_shedding() && self.admission.note_shedding(self.cluster.now()) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
@@ -148,7 +151,7 @@
         self.requests.finish(key);
     }
 
-    /// Takes in the end of an attempt, and retries its request or ends it.
+    /// Handles the end of an attempt: evaluates its result, and finishes, retries or gives up the request.
     pub(crate) fn attempt_finished(&mut self, result: &AttemptResult) {
         let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
         let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
@@ -165,7 +168,7 @@
         self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
-    /// Takes in what the outcome of an attempt shows of its endpoint and of its class.
+    /// Applies the outcome of an attempt to the state of its endpoint and to the latency of its class.
     fn record_outcome(&mut self, ended: &EndedAttempt, result: &AttemptResult) {
         let now = self.cluster.now();
         let endpoint = ended.attempt.endpoint();
@@ -215,7 +218,7 @@
         self.dispatch(key);
     }
 
-    /// Counts the silence of endpoints as failures, and replaces attempts that take too long.
+    /// Records the silence of endpoints as failures, and replaces overdue attempts.
     pub(crate) fn handle_overdue_attempts(&mut self) {
         for overdue in overdue::overdue_attempts(&self.requests, &self.admission, &self.cluster) {
             if overdue.cause.is_endpoint_silent {
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Hedges an attempt that takes too long, or cancels it, so that it is retried.
+    /// Hedges an overdue attempt, or cancels it for a retry, if either is allowed.
     fn replace_attempt(&mut self, overdue: &OverdueAttempt) {
         let Some(request) = self.requests.get_mut(overdue.request) else { return };
         let latency = self.admission.latency(request.class());
@@ -248,8 +251,8 @@
         }
     }
 
-    /// Sends a second attempt beside one that takes too long, to another endpoint: a primary that has lost a
-    /// write is not sent it again while the first attempt is in flight.
+    /// Sends a second attempt while an overdue one stays in flight, and only to another endpoint: a write that
+    /// a primary has lost must not be sent to it again while the first attempt is in flight.
     fn hedge(&mut self, overdue: &OverdueAttempt) {
         let Ok(endpoint) = self.route(overdue.request) else { return };
         if endpoint != overdue.endpoint {
