--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -12,8 +12,8 @@
 use crate::policy::{NoRoute, Policy, Route};
 use crate::time::Span;
 
-/// Share of a request's timeout for which it may wait without reaching an endpoint. The rest leaves its client
-/// time to retry elsewhere.
+/// Share of a request's timeout for which it may wait without reaching an endpoint. The rest leaves its
+/// client time to retry elsewhere.
 const QUEUE_TIME_SHARE: f64 = 0.5;
 /// A timer that expires within this many ticks of the deadline is the one for the final answer.
 const FINAL_TIMER_TOLERANCE_TICKS: f64 = 2.0;
@@ -251,8 +251,8 @@
         }
     }
 
-    /// Sends a second attempt while an overdue one stays in flight, and only to another endpoint: a write that
-    /// a primary has lost must not be sent to it again while the first attempt is in flight.
+    /// Sends a second attempt while an overdue one stays in flight, and only to another endpoint: a write
+    /// that a primary has lost must not be sent to it again while the first attempt is in flight.
     fn hedge(&mut self, overdue: &OverdueAttempt) {
         let Ok(endpoint) = self.route(overdue.request) else { return };
         if endpoint != overdue.endpoint {
