--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -54,7 +54,7 @@
     /// A call for the endpoint list failed or its watch broke: the list received so far stays in force.
     WatchFailed,
     /// The endpoint list was updated.
-    Endpoints {
+    EndpointsUpdated {
         /// What the update contains.
         kind: UpdateKind,
         /// Its entries.
@@ -65,7 +65,7 @@
     /// An attempt ended.
     AttemptFinished(AttemptResult),
     /// A health check ended.
-    HealthChecked {
+    HealthCheckFinished {
         /// The endpoint that was checked.
         endpoint: EndpointId,
         /// How the check ended.
@@ -89,7 +89,7 @@
         id: RequestId,
     },
     /// A timer has expired.
-    Timer {
+    TimerExpired {
         /// The cookie that it was set with.
         cookie: u64,
     },
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -137,13 +137,13 @@
         let (id, endpoint) = (request.id().clone(), endpoint.id().clone());
         request.add_attempt(Attempt::new(to, now));
         self.actions.push(Action::Send { id, endpoint, timeout });
-        self.slow_start.spend(to, &self.cluster);
+        self.slow_start.charge_budget(to, &self.cluster);
         self.cluster.endpoint_mut(to).attempt_sent(now);
     }
 
     /// Gives a request its final answer: a rejection if a retry by the client is safe, else a failure.
     pub(crate) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
-        if reason.is_load_shedding() && self.admission.note_shedding(self.cluster.now()) {
+        if reason.is_load_shedding() && self.admission.record_shedding(self.cluster.now()) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
         }
         let Some(request) = self.requests.get(key) else { return };
@@ -155,7 +155,7 @@
     pub(crate) fn attempt_finished(&mut self, result: &AttemptResult) {
         let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
         let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
-        self.cluster.observe_answer(endpoint, result, sent_at);
+        self.cluster.observe_response(endpoint, result, sent_at);
         self.cluster.observe_report(endpoint, &result.report);
         if let Some(ended) = self.requests.end_attempt(result) {
             self.record_outcome(&ended, result);
@@ -165,7 +165,7 @@
             }
             self.finish_or_retry(ended.key, endpoint, result);
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+        self.update_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Applies the outcome of an attempt to the state of its endpoint and to the latency of its class.
@@ -177,10 +177,10 @@
             attempt: &ended.attempt,
             result,
             endpoint: self.cluster.endpoint(endpoint),
-            class_latency: self.admission.latency(ended.class),
+            class_latency: self.admission.class_latency(ended.class),
             settings: self.cluster.settings(),
             now,
-            cluster_now: self.cluster.likely_now(),
+            cluster_now: self.cluster.estimated_now(),
         };
         let evidence = observation.evidence();
         if observation.is_connection_refused() {
@@ -197,7 +197,7 @@
 
     fn close_idle_connections(&mut self, endpoint: EndpointKey) {
         let endpoint = self.cluster.endpoint(endpoint);
-        if self.connection_shortage.is_expected(self.cluster.now()) && endpoint.load().in_flight() == 0 {
+        if self.connection_shortage.is_active(self.cluster.now()) && endpoint.load().in_flight() == 0 {
             self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id().clone() });
         }
     }
@@ -213,7 +213,7 @@
             return self.give_up(key, reason);
         }
         if result.outcome == Outcome::Ineligible && is_write {
-            self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+            self.update_primary(self.cluster.endpoint(endpoint).listing().group());
         }
         self.dispatch(key);
     }
@@ -237,7 +237,7 @@
     /// Hedges an overdue attempt, or cancels it for a retry, if either is allowed.
     fn replace_attempt(&mut self, overdue: &OverdueAttempt) {
         let Some(request) = self.requests.get_mut(overdue.request) else { return };
-        let latency = self.admission.latency(request.class());
+        let latency = self.admission.class_latency(request.class());
         let OverdueAttempt { number, cause, .. } = *overdue;
         match retry::replacement(request, number, cause, latency, &self.retry_budget, &self.cluster) {
             Some(Replacement::Hedge) => self.hedge(overdue),
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -83,7 +83,7 @@
                 self.unknown_writes_until = Some(cluster.now());
             }
         }
-        self.commits.evict(MAX_RECORDED_WRITES, cluster.likely_now() - MAX_WRITE_AGE);
+        self.commits.evict(MAX_RECORDED_WRITES, cluster.estimated_now() - MAX_WRITE_AGE);
     }
 }
 
@@ -101,8 +101,8 @@
 }
 
 /// The commit position that an endpoint reported for a write, if the write succeeded and the position is
-/// credible.
+/// plausible.
 fn reported_commit(result: &AttemptResult, cluster: &Cluster) -> Option<LogPosition> {
     let position = result.log_position.filter(|_| result.outcome == Outcome::Success)?;
-    cluster.clock().is_credible(position, cluster.now()).then_some(position)
+    cluster.clock().is_plausible(position, cluster.now()).then_some(position)
 }
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -56,10 +56,10 @@
     pub fn observe_event(&mut self, now: f64, event: &Event) {
         self.now = now;
         match event {
-            Event::Endpoints { kind, endpoints } => self.observe_endpoints(*kind, endpoints),
+            Event::EndpointsUpdated { kind, endpoints } => self.observe_endpoints(*kind, endpoints),
             Event::Request(request) => self.observe_request(request),
             Event::AttemptFinished(result) => self.observe_result(result),
-            Event::HealthChecked { endpoint, outcome: Outcome::Success, report } => {
+            Event::HealthCheckFinished { endpoint, outcome: Outcome::Success, report } => {
                 self.observe_report(endpoint, report);
             }
             Event::ResponseStarted { id } => self.end_request(id),
@@ -71,9 +71,9 @@
                 }
             }
             Event::WatchFailed
-            | Event::HealthChecked { .. }
+            | Event::HealthCheckFinished { .. }
             | Event::ShutdownImminent { .. }
-            | Event::Timer { .. } => {}
+            | Event::TimerExpired { .. } => {}
         }
     }
 
