--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -29,7 +29,7 @@
     pub(crate) objective_expires_at: LocalInstant,
     /// When its client stops waiting for an answer.
     pub(crate) deadline: LocalInstant,
-    /// While no attempt has reached an endpoint, the request is given up at this time.
+    /// When it is given up if no attempt has reached an endpoint by then.
     pub(crate) queue_deadline: LocalInstant,
     /// For a session read, the log position that an endpoint must have reached to serve it.
     pub(crate) session_token: RequiredPosition,
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -24,7 +24,7 @@
     request.add_attempt(Attempt::new(0, at(1.0)));
     assert_eq!(request.possibly_executed_since(), Some(at(1.0)), "in flight");
     request.end_attempt(0, Outcome::Overloaded);
-    assert_eq!(request.possibly_executed_since(), None, "proven not to be executed");
+    assert_eq!(request.possibly_executed_since(), None, "proven not to have been executed");
     request.add_attempt(Attempt::new(0, at(2.0)));
     request.add_attempt(Attempt::new(1, at(3.0)));
     request.end_attempt(2, Outcome::ConnectionReset);
--- a/src/policy/retry/budget.rs
+++ b/src/policy/retry/budget.rs
@@ -3,7 +3,7 @@
 
 use crate::policy::token_bucket::TokenBucket;
 
-/// Tokens deposited by each request. Retries add at most 10% to the load, too little to amplify an overload.
+/// Tokens deposited by each request: 10% more attempts are too few to amplify an overload.
 const TOKENS_PER_REQUEST: f64 = 0.1;
 /// Capacity of the budget: enough to retry the requests that a failed endpoint had in flight.
 const MAX_TOKENS: f64 = 20.0;
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -126,14 +126,14 @@
     cluster.now() + cluster.settings().tick >= request.context().deadline
 }
 
-/// Withdraws a token from the retry budget for the retry after an attempt with this outcome. A retry of an
-/// attempt that is proven not to be executed is free.
+/// Withdraws a token from the retry budget for the retry after an attempt with this outcome. The retry is
+/// free if the outcome proves that the attempt was not executed.
 pub(crate) fn charge_retry(
     outcome: Outcome,
     is_at_primary: bool,
     budget: &mut RetryBudget,
 ) -> Result<(), GiveUpReason> {
-    // Checked before the withdrawal: the retry would meet the same overload, so it is not made.
+    // A retry would find the primary just as overloaded, so no token is spent on one.
     if is_at_primary && outcome == Outcome::Overloaded {
         return Err(GiveUpReason::PrimaryOverloaded);
     }
