--- a/src/net/frontend/arrivals/tests.rs
+++ b/src/net/frontend/arrivals/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Returns the instant so many seconds after `start`.
+/// Returns the instant `seconds` after `start`.
 fn after(start: Instant, seconds: u64) -> Instant {
     start + Duration::from_secs(seconds)
 }
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn consumed_input_is_forgotten() {
+fn arrival_times_of_consumed_input_are_dropped() {
     let (start, mut times) = (Instant::now(), ArrivalTimes::default());
     times.record(10, 0, after(start, 1));
     times.record(10, 10, after(start, 2));
--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -1,4 +1,4 @@
-//! The input of a client connection: bytes that are not processed yet, and when they were received.
+//! The input of a client connection: bytes that are not yet processed, and when they were received.
 
 use std::io::Read;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
 use crate::net::postgres::{self, ClientMessage, FrameError, Startup};
 
-/// The input buffer with its arrival times.
+/// The input buffer and the arrival times of its content.
 pub(super) struct Input {
     buffer: RingBuffer,
     arrival_times: ArrivalTimes,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Returns the number of bytes that are not processed.
+    /// Returns the number of bytes that are not yet processed.
     pub(super) fn len(&self) -> usize {
         self.buffer.len()
     }
@@ -40,7 +40,7 @@
         self.last_received_at
     }
 
-    /// Reads what has arrived, and records `now` as the time of its arrival. Fails if the source has ended.
+    /// Reads the available input and records `now` as its time of arrival. Fails if the source has ended.
     pub(super) fn read_from(
         &mut self,
         source: &mut impl Read,
@@ -59,8 +59,8 @@
         Ok(status)
     }
 
-    /// Reads at most one buffer and discards it. Returns whether more may be left in the source. Fails if the
-    /// source has ended.
+    /// Reads at most one buffer of input and discards it. Returns whether more may be left in the source.
+    /// Fails if the source has ended.
     pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
         let status = self.buffer.read_from(source)?;
         if status == ReadStatus::EndOfStream {
@@ -71,30 +71,30 @@
         Ok(may_have_more)
     }
 
-    /// Reads the rest of a source that has ended or failed, and takes the startup message in it if there is
-    /// one.
+    /// Reads the rest of a source that has ended or failed. Returns the startup message if the input then
+    /// holds a complete one.
     pub(super) fn take_final_startup(&mut self, source: &mut impl Read) -> Option<Startup> {
         let _ = self.buffer.read_from(source);
         self.take_startup().ok().flatten()
     }
 
-    /// Takes the startup message, or returns `None` until it is complete.
+    /// Takes the startup message. Returns `None` until it is complete.
     pub(super) fn take_startup(&mut self) -> Result<Option<Startup>, FrameError> {
         postgres::read_startup(&mut self.buffer)
     }
 
-    /// Takes the next message, or returns `None` until it is complete.
+    /// Takes the next message. Returns `None` until it is complete.
     pub(super) fn take_message(&mut self) -> Result<Option<ClientMessage>, FrameError> {
         postgres::read_client_message(&mut self.buffer)
     }
 
-    /// Returns when the last byte of the message that was just taken was received.
+    /// Returns when the last byte of the most recently taken message was received.
     pub(super) fn message_received_at(&mut self) -> Instant {
         let arrived_at = self.arrival_times.received_at(self.buffer.total_consumed());
         arrived_at.unwrap_or(self.last_received_at)
     }
 
-    /// Reserves `bytes` of the budget for a message that is taken out and stored elsewhere.
+    /// Reserves `bytes` of the memory budget for a message that was taken and is stored elsewhere.
     pub(super) fn reserve_memory(&self, bytes: usize) -> Result<MemoryReservation, CapacityExceeded> {
         self.buffer.reserve_memory(bytes)
     }
--- a/src/net/frontend/input/tests.rs
+++ b/src/net/frontend/input/tests.rs
@@ -4,14 +4,14 @@
 use super::*;
 
 const MEMORY: usize = 1_000_000;
-/// A message of the kind `Sync`, which has no body.
+/// A `Sync` message, which has no body.
 const SYNC: &[u8] = b"S\0\0\0\x04";
 
 fn input(now: Instant) -> Input {
     Input::new(&MemoryBudget::new(MEMORY), now)
 }
 
-/// A source that has these bytes and then no more for now.
+/// A source that yields these bytes and then would block.
 struct Source<'a>(&'a [u8]);
 
 impl Read for Source<'_> {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_message_was_received_with_its_last_byte() {
+fn a_message_is_received_with_its_last_byte() {
     let start = Instant::now();
     let (first, second) = (start + Duration::from_secs(1), start + Duration::from_secs(2));
     let mut input = input(start);
--- a/src/net/frontend/output.rs
+++ b/src/net/frontend/output.rs
@@ -1,4 +1,4 @@
-//! The output of a client connection: encodes responses and errors, and writes them to the socket.
+//! The output of a client connection: encodes responses and errors and writes them to the socket.
 
 use std::io::Write;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 
 const NANOS_PER_MILLISECOND: u128 = 1_000_000;
 
-/// What came of writing the output to the socket.
+/// The result of writing the output to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FlushStatus {
     /// All output is written.
     Complete,
-    /// The socket has taken a part of the output, and takes no more at present.
+    /// The socket has accepted a part of the output and accepts no more at present.
     Partial,
-    /// The socket takes nothing at present.
+    /// The socket accepts nothing at present.
     Blocked,
 }
 
-/// The output buffer. Each `push` method fails if the buffer or the memory budget has no capacity left.
+/// The output buffer. Each `push` method fails if it would exceed the buffer's limit or the memory budget.
 pub(super) struct Output {
     buffer: RingBuffer,
 }
@@ -37,7 +37,7 @@
         self.buffer.is_empty()
     }
 
-    /// Writes as much as the sink takes without blocking.
+    /// Writes as much as the sink accepts without blocking.
     pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, ConnectionClosed> {
         let length_before = self.buffer.len();
         if self.buffer.write_to(sink)? {
@@ -47,27 +47,27 @@
         Ok(if is_partial { FlushStatus::Partial } else { FlushStatus::Blocked })
     }
 
-    /// Declines a request for encryption: the client may go on without.
+    /// Declines a request for encryption. The client may continue without it.
     pub(super) fn push_encryption_declined(&mut self) -> Result<(), ConnectionClosed> {
         self.push(postgres::ENCRYPTION_NOT_SUPPORTED)
     }
 
-    /// Confirms the start of a session.
+    /// Confirms the start of the session and sends the client its cancel key.
     pub(super) fn push_session_start(&mut self, cancel_key: CancelKey) -> Result<(), ConnectionClosed> {
         self.push(&postgres::session_start(cancel_key))
     }
 
-    /// Tells the client that it may send the next query.
+    /// Informs the client that it may send the next query.
     pub(super) fn push_ready_for_query(&mut self) -> Result<(), ConnectionClosed> {
         self.push(&postgres::ready_for_query())
     }
 
-    /// Answers an empty query.
+    /// Responds to an empty query.
     pub(super) fn push_empty_query_response(&mut self) -> Result<(), ConnectionClosed> {
         self.push(&[postgres::empty_query_response(), postgres::ready_for_query()].concat())
     }
 
-    /// Answers a query.
+    /// Responds to a query.
     pub(super) fn push_response(&mut self, response: Response) -> Result<(), ConnectionClosed> {
         match response {
             Response::Value(value) => self.push_value(value),
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Answers a query or message with an error. The client may send the next query.
+    /// Responds to a query or message with an error, after which the client may send the next query.
     pub(super) fn push_error(&mut self, code: &str, message: &str) -> Result<(), ConnectionClosed> {
         self.push_error_with_detail(code, message, None)
     }
 
-    /// Answers a query with a rejection. The detail says after how many milliseconds to retry, rounded up;
-    /// there is none without a Retry-After or if it is zero.
+    /// Rejects a query. The detail field of the error holds the Retry-After in milliseconds, rounded up. It
+    /// is omitted if there is no Retry-After or if it is zero.
     pub(super) fn push_rejection(
         &mut self,
         code: &str,
@@ -100,7 +100,8 @@
         self.push_error_with_detail(code, message, detail.as_deref())
     }
 
-    /// Answers a message of the extended protocol with an error. ReadyForQuery follows with the next Sync.
+    /// Responds to a message of the extended protocol with an error. ReadyForQuery follows only after the
+    /// next Sync.
     pub(super) fn push_error_until_sync(
         &mut self,
         code: &str,
@@ -109,7 +110,7 @@
         self.push(&postgres::error_response(Severity::Error, code, message, None))
     }
 
-    /// Reports the error for which the connection is closed.
+    /// Reports the error that causes the connection to be closed.
     pub(super) fn push_fatal_error(&mut self, code: &str, message: &str) -> Result<(), ConnectionClosed> {
         self.push(&postgres::error_response(Severity::Fatal, code, message, None))
     }
--- a/src/net/frontend/output/tests.rs
+++ b/src/net/frontend/output/tests.rs
@@ -10,7 +10,7 @@
     Output::new(&MemoryBudget::new(MEMORY))
 }
 
-/// A sink that takes so many bytes and then no more for now.
+/// A sink that accepts `capacity` bytes and then would block.
 struct Sink {
     capacity: usize,
     written: Vec<u8>,
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_sink_takes_all_a_part_or_nothing() {
+fn a_write_is_complete_partial_or_blocked() {
     let mut output = output();
     output.push_response(Response::Value(b"value".to_vec())).unwrap();
     let mut sink = Sink { capacity: 0, written: Vec::new() };
@@ -70,9 +70,9 @@
     assert_eq!(write_all(&mut output), [error, postgres::ready_for_query()].concat());
 }
 
-/// A client whose value does not fit must still get a response.
+/// A client whose value does not fit into the buffer must still get a response.
 #[test]
-fn a_value_without_memory_is_answered_with_an_error() {
+fn a_value_that_exceeds_the_memory_is_answered_with_an_error() {
     let mut output = output();
     output.push_response(Response::Value(vec![0; MEMORY])).unwrap();
     let error =
--- a/src/net/frontend/protocol_state/tests.rs
+++ b/src/net/frontend/protocol_state/tests.rs
@@ -6,9 +6,9 @@
 
 const SESSION: Transition = ProtocolState::start_session;
 const QUERY: Transition = ProtocolState::start_query;
-const ANSWER: Transition = ProtocolState::finish_query;
+const RESPONSE: Transition = ProtocolState::finish_query;
 const EMPTY_QUERY: Transition = ProtocolState::await_endpoints;
-const EMPTY_ANSWER: Transition = ProtocolState::finish_empty_query;
+const EMPTY_QUERY_RESPONSE: Transition = ProtocolState::finish_empty_query;
 const EXTENDED_QUERY: Transition = ProtocolState::skip_to_sync;
 const SYNC: Transition = ProtocolState::sync;
 const CLOSING: Transition = ProtocolState::start_closing;
@@ -27,10 +27,10 @@
 #[case::new(&[], Phase::Startup)]
 #[case::session(&[SESSION], Phase::Idle)]
 #[case::query(&[SESSION, QUERY], Phase::Busy)]
-#[case::answer(&[SESSION, QUERY, ANSWER], Phase::Idle)]
+#[case::response(&[SESSION, QUERY, RESPONSE], Phase::Idle)]
 #[case::empty_query(&[SESSION, EMPTY_QUERY], Phase::AwaitingEndpoints)]
-#[case::empty_query_answered(&[SESSION, EMPTY_QUERY, EMPTY_ANSWER], Phase::Idle)]
-#[case::empty_query_answered_at_once(&[SESSION, EMPTY_ANSWER], Phase::Idle)]
+#[case::empty_query_response(&[SESSION, EMPTY_QUERY, EMPTY_QUERY_RESPONSE], Phase::Idle)]
+#[case::empty_query_response_at_once(&[SESSION, EMPTY_QUERY_RESPONSE], Phase::Idle)]
 #[case::extended_query(&[SESSION, EXTENDED_QUERY], Phase::SkippingToSync)]
 #[case::sync(&[SESSION, EXTENDED_QUERY, SYNC], Phase::Idle)]
 #[case::sync_without_error(&[SESSION, SYNC], Phase::Idle)]
@@ -40,14 +40,14 @@
     assert_eq!(after(transitions).phase(), expected);
 }
 
-/// A running query must get its response: its connection is not closed before.
+/// A running query must get its response before its connection is closed.
 #[test]
 #[should_panic(expected = "Busy cannot become Closing")]
 fn a_connection_is_not_closed_while_its_query_runs() {
     after(&[SESSION, QUERY, CLOSING]);
 }
 
-/// Each shutdown of the sending direction raises an event, which would start cycles endlessly.
+/// Each shutdown of the sending direction raises an event, so repeated ones would start cycles endlessly.
 #[test]
 #[should_panic(expected = "HalfClosed cannot become HalfClosed")]
 fn the_sending_direction_is_shut_down_once() {
