--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -1,4 +1,4 @@
-//! The listening socket: accepts connections until it is closed for the shutdown.
+//! The listening socket, which accepts connections until it is closed for the shutdown.
 
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
@@ -9,10 +9,10 @@
 use super::log_limiter::LogLimiter;
 use crate::net::reactor::{EventSource, Reactor, TimerEvent};
 
-/// Delay before accepting again after the system had no descriptor or memory for a connection.
+/// Delay before accepting again after the system lacked a file descriptor or memory for a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What came of accepting one connection.
+/// The result of accepting one connection.
 pub(super) enum AcceptStatus {
     /// A connection was accepted.
     Accepted(TcpStream),
@@ -22,20 +22,20 @@
     Blocked,
 }
 
-/// The listening socket and what keeps it from accepting.
+/// The listening socket and the state of its accept queue.
 pub(super) struct Acceptor {
-    /// None once it is closed for the shutdown.
+    /// `None` once it is closed for the shutdown.
     listener: Option<TcpListener>,
-    /// Whether to close the listener once its queue is empty.
+    /// Whether to close the listener once its accept queue is empty.
     is_closing: bool,
-    /// Whether connections may wait in the listener's queue until the connection limit allows them.
+    /// Whether connections may be waiting in the accept queue until the connection limit allows them.
     has_backlog: bool,
-    /// Shared by the two warnings of the acceptor: each mutes the other.
+    /// Shared by both warnings of the acceptor, so each of them suppresses the other.
     log_limiter: LogLimiter,
 }
 
 impl Acceptor {
-    /// Registers the listener with the reactor. Fails if the system has no memory for it.
+    /// Registers the listener with the reactor. Fails if the system lacks the memory for it.
     pub(super) fn new(mut listener: TcpListener, reactor: &mut Reactor) -> io::Result<Acceptor> {
         reactor.register(&mut listener, EventSource::Listener, Interest::READABLE)?;
         Ok(Acceptor {
@@ -46,8 +46,8 @@
         })
     }
 
-    /// Closes the listening socket once all connections in its queue are accepted. Closing it earlier
-    /// would reset them, with the queries that their clients may have sent.
+    /// Closes the listening socket once all connections in its accept queue are accepted. Closing it earlier
+    /// would reset them, and queries that their clients may already have sent would be lost.
     pub(super) fn close_once_queue_is_empty(&mut self) {
         self.is_closing = true;
     }
@@ -57,22 +57,22 @@
         self.listener.is_some()
     }
 
-    /// Leaves the connections in the queue until one of the `clients` connected now is removed. The listener
-    /// is edge-triggered and does not announce them a second time.
-    pub(super) fn wait_for_capacity(&mut self, clients: usize, now: Instant) {
+    /// Records that connections are left in the accept queue until one of the `clients` connected now is
+    /// removed. The listener is edge-triggered and does not announce them a second time.
+    pub(super) fn pause_accepting(&mut self, clients: usize, now: Instant) {
         self.has_backlog = true;
-        if self.log_limiter.permits(now) {
+        if self.log_limiter.should_log(now) {
             tracing::warn!(clients, "all client connections are busy: new connections wait");
         }
     }
 
-    /// Returns whether connections were left in the queue since the last call.
+    /// Returns whether connections were left in the accept queue since the last call.
     pub(super) fn take_backlog(&mut self) -> bool {
         std::mem::take(&mut self.has_backlog)
     }
 
-    /// Accepts the next connection in the queue. If the system lacks memory or a descriptor for it,
-    /// sets a timer to retry.
+    /// Accepts the next connection in the accept queue. If the system lacks memory or a file descriptor for
+    /// it, sets a timer to retry.
     pub(super) fn accept(&mut self, now: Instant, reactor: &mut Reactor) -> AcceptStatus {
         let Some(listener) = &self.listener else { return AcceptStatus::Blocked };
         match listener.accept() {
@@ -91,9 +91,9 @@
             }
             ErrorKind::ConnectionAborted | ErrorKind::Interrupted => AcceptStatus::Aborted,
             _ => {
-                // There is no descriptor or no memory: the connection stays in the queue.
+                // The system lacks a file descriptor or memory: the connection stays in the accept queue.
                 reactor.set_timer(now + ACCEPT_RETRY_DELAY, TimerEvent::RetryAccept);
-                if self.log_limiter.permits(now) {
+                if self.log_limiter.should_log(now) {
                     tracing::warn!(%error, "cannot accept a connection");
                 }
                 AcceptStatus::Blocked
--- a/src/net/frontend/connection_limit.rs
+++ b/src/net/frontend/connection_limit.rs
@@ -1,4 +1,4 @@
-//! How the frontend accepts connections: up to the connection limit, or in place of an idle connection.
+//! Accepts connections up to the connection limit, and beyond it in place of half-closed or idle connections.
 
 use std::ops::ControlFlow;
 
@@ -11,7 +11,7 @@
 use crate::net::{CancelKey, Context};
 
 impl Frontend {
-    /// Accepts all connections in the listener's queue, as far as the connection limit allows.
+    /// Accepts the connections in the accept queue, as far as the connection limit allows.
     pub fn accept(&mut self, context: &mut Context) {
         while self.acceptor.is_open() {
             if self.accept_next(context).is_break() {
@@ -20,27 +20,28 @@
         }
     }
 
-    /// Closes the listener once the connections in its queue are accepted: now, unless the connection limit
-    /// is reached. Queries are still served until [`start_draining`](Self::start_draining).
+    /// Closes the listener once the connections in its accept queue are accepted, which is immediately unless
+    /// the connection limit is reached. Queries are still served until
+    /// [`start_draining`](Self::start_draining).
     pub fn stop_accepting(&mut self, context: &mut Context) {
         self.acceptor.close_once_queue_is_empty();
         self.accept(context);
     }
 
-    /// Accepts connections that were left in the listener's queue.
+    /// Accepts connections that were left in the accept queue.
     pub(super) fn resume_accepting(&mut self, context: &mut Context) {
         if self.acceptor.take_backlog() {
             self.accept(context);
         }
     }
 
-    /// Accepts one connection. Breaks when no more can be accepted for now.
+    /// Accepts one connection. Breaks if no more can be accepted for now.
     fn accept_next(&mut self, context: &mut Context) -> ControlFlow<()> {
         let now = context.reactor.now();
         let evicted = match self.connections.capacity() {
             Capacity::Available => None,
             Capacity::Evict(id) => {
-                // Input that has arrived by now makes the connection busy.
+                // The socket may already hold new input, which makes the connection busy.
                 self.ready(id, context);
                 if !self.connections.is_evictable(id) {
                     return ControlFlow::Continue(());
@@ -48,13 +49,14 @@
                 Some(id)
             }
             Capacity::Exhausted => {
-                self.acceptor.wait_for_capacity(self.connections.len(), now);
+                self.acceptor.pause_accepting(self.connections.len(), now);
                 return ControlFlow::Break(());
             }
         };
         match self.acceptor.accept(now, &mut context.reactor) {
             AcceptStatus::Accepted(stream) => {
-                // Closed only now that there is a new one, which uses a spare descriptor for a moment.
+                // The old connection is closed only after the new one is accepted. Until then, the new one
+                // occupies a spare file descriptor.
                 if let Some(id) = evicted {
                     self.connections.remove(id);
                 }
--- a/src/net/frontend/connections.rs
+++ b/src/net/frontend/connections.rs
@@ -1,22 +1,23 @@
-//! The open client connections and their limit: whether one more is accepted, and which one it replaces.
+//! The open client connections and the connection limit: whether another one can be accepted, and which
+//! existing connection it replaces.
 
 use super::connection::Connection;
 use super::protocol_state::Phase;
 use super::session::Session;
 use crate::net::reactor::{ConnectionId, ConnectionTable};
 
-/// What the connection limit allows for a new connection.
+/// Whether the connection limit allows a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Capacity {
     /// The limit is not reached.
     Available,
-    /// The limit is reached, but this connection can be closed in favour of a new one.
+    /// The limit is reached, but this connection can be evicted for a new one.
     Evict(ConnectionId),
-    /// The limit is reached and all connections are busy.
+    /// The limit is reached and no connection can be evicted.
     Exhausted,
 }
 
-/// The client connections, at most `limit`.
+/// The client connections, at most `limit` of them.
 pub(super) struct ClientConnections {
     table: ConnectionTable<Connection>,
     limit: usize,
@@ -28,7 +29,7 @@
         ClientConnections { table: ConnectionTable::new(), limit }
     }
 
-    /// Returns the connection limit.
+    /// Returns the maximum number of connections.
     pub(super) fn limit(&self) -> usize {
         self.limit
     }
@@ -48,7 +49,7 @@
         self.table.get_mut(id)
     }
 
-    /// Adds a connection. The caller has seen to the limit.
+    /// Adds a connection. The caller must have checked the connection limit.
     pub(super) fn insert(&mut self, connection: Connection) -> ConnectionId {
         self.table.insert(connection)
     }
@@ -63,19 +64,19 @@
         self.find_all(|_| true)
     }
 
-    /// Returns the connections whose sessions match.
+    /// Returns the ids of the connections whose sessions match.
     pub(super) fn find_all(&self, matches: impl Fn(&Session) -> bool) -> Vec<ConnectionId> {
         let matching = self.table.iter().filter(|(_, connection)| matches(connection.session()));
         matching.map(|(id, _)| id).collect()
     }
 
-    /// Returns the first connection whose session matches.
+    /// Returns the id of the first connection whose session matches.
     pub(super) fn find(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
         let mut connections = self.table.iter();
         connections.find(|(_, connection)| matches(connection.session())).map(|(id, _)| id)
     }
 
-    /// Returns the matching connection that has been inactive for longest.
+    /// Returns the id of the matching connection that has been inactive for longest.
     pub(super) fn least_recently_active(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
         self.table
             .iter()
@@ -84,18 +85,18 @@
             .map(|(id, _)| id)
     }
 
-    /// Returns what the limit allows. A half-closed connection is evicted before an idle one; one whose last
-    /// response is not written yet is not evicted.
+    /// Returns whether a new connection can be accepted. Half-closed connections are evicted before idle
+    /// ones. A connection whose last response is not completely written is never evicted.
     pub(super) fn capacity(&self) -> Capacity {
         if self.len() < self.limit {
             return Capacity::Available;
         }
         let half_closed = self.least_recently_active(is_half_closed);
-        let evicted = half_closed.or_else(|| self.least_recently_active(Session::is_idle));
-        evicted.map_or(Capacity::Exhausted, Capacity::Evict)
+        let candidate = half_closed.or_else(|| self.least_recently_active(Session::is_idle));
+        candidate.map_or(Capacity::Exhausted, Capacity::Evict)
     }
 
-    /// Returns whether the connection with this id can still be closed in favour of a new one.
+    /// Returns whether the connection with this id can still be evicted for a new one.
     pub(super) fn is_evictable(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.table.get_mut(id) else { return false };
         is_half_closed(connection.session()) || connection.session().is_idle()
--- a/src/net/frontend/error.rs
+++ b/src/net/frontend/error.rs
@@ -1,12 +1,15 @@
-//! The error of a client connection.
+//! The error type of client connections.
 
 use std::io;
 
 use crate::net::buffer::CapacityExceeded;
 
-/// The connection has to be removed: its client has closed the socket, has sent Terminate or a cancel request
-/// or has missed a deadline while output is unread or the connection is closing; or the socket has failed,
-/// or the memory budget is used up.
+/// The connection must be removed, for one of these reasons:
+///
+/// - The client has closed the socket or has sent Terminate or a cancel request.
+/// - The client has missed its deadline while output is unread or the connection is closing.
+/// - The socket has failed.
+/// - The memory budget is exhausted.
 #[derive(Debug, thiserror::Error)]
 #[error("the client connection is closed")]
 pub(super) struct ConnectionClosed;
--- a/src/net/frontend/log_limiter.rs
+++ b/src/net/frontend/log_limiter.rs
@@ -3,21 +3,22 @@
 use std::time::{Duration, Instant};
 
 /// Time without an occurrence after which the condition is logged again.
-const QUIET_TIME: Duration = Duration::from_secs(10);
+const QUIET_PERIOD: Duration = Duration::from_secs(10);
 
-/// Permits one log line for a condition that comes and goes, until it has not occurred for [`QUIET_TIME`].
+/// Permits one log line for a recurring condition, and the next only after the condition has not occurred for
+/// [`QUIET_PERIOD`].
 #[derive(Default)]
 pub(super) struct LogLimiter {
-    /// None before the first occurrence.
-    muted_until: Option<Instant>,
+    /// `None` before the first occurrence.
+    suppressed_until: Option<Instant>,
 }
 
 impl LogLimiter {
     /// Records an occurrence at `now` and returns whether to log it.
-    pub(super) fn permits(&mut self, now: Instant) -> bool {
-        let permitted = self.muted_until.is_none_or(|muted_until| now >= muted_until);
-        self.muted_until = Some(now + QUIET_TIME);
-        permitted
+    pub(super) fn should_log(&mut self, now: Instant) -> bool {
+        let should_log = self.suppressed_until.is_none_or(|suppressed_until| now >= suppressed_until);
+        self.suppressed_until = Some(now + QUIET_PERIOD);
+        should_log
     }
 }
 
--- a/src/net/frontend/service_status.rs
+++ b/src/net/frontend/service_status.rs
@@ -1,10 +1,10 @@
-//! Whether the pooler can execute queries.
+//! Whether the pooler currently executes queries.
 
 use std::time::Instant;
 
 use crate::net::shutdown::Drain;
 
-/// What all client connections have to know about the pooler.
+/// The state of the pooler that all client connections depend on.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServiceStatus {
     is_ready: bool,
@@ -22,7 +22,7 @@
         self.is_ready = true;
     }
 
-    /// Returns whether the connections are drained for the shutdown.
+    /// Returns whether the connections are being drained for the shutdown.
     pub(super) fn is_draining(&self) -> bool {
         self.drain.is_some()
     }
@@ -32,7 +32,7 @@
         self.drain = Some(drain);
     }
 
-    /// Returns the drain that rejects a query received at this instant, if one does.
+    /// Returns the drain if it rejects a query received at this instant.
     pub(super) fn rejecting_drain(&self, received_at: Instant) -> Option<Drain> {
         self.drain.filter(|drain| drain.rejects(received_at))
     }
