--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -1,11 +1,11 @@
-//! One client connection: the cycle that reads, processes and writes without blocking. Only this module moves
-//! bytes between the socket and the session, and sets the timers of the connection.
+//! One client connection and its non-blocking read, process and write cycle. Only this module moves bytes
+//! between the socket and the session, and sets the timers of the connection.
 
 use std::time::{Duration, Instant};
 
 use mio::net::TcpStream;
 
-use super::cycle::Cycle;
+use super::cycle::CycleContext;
 use super::deadline::ClientDeadline;
 use super::error::ConnectionClosed;
 use super::output::FlushStatus;
@@ -17,16 +17,16 @@
 use crate::net::reactor::{ConnectionId, TimerEvent};
 use crate::net::{CancelKey, Context, Response};
 
-/// Most messages of one connection that are processed in one cycle. Keeps a client that sends without pause
-/// from blocking the event loop.
+/// Maximum number of messages of one connection that are processed in one cycle. Prevents a client that sends
+/// continuously from blocking the event loop.
 const MAX_MESSAGES_PER_CYCLE: usize = 32;
 
-/// Why the processing of messages has stopped.
+/// Why a batch of messages ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Progress {
-    /// It has to wait for the client or for a response.
+enum BatchStatus {
+    /// The client must send or read more, or a response or an endpoint must become available.
     Blocked,
-    /// [`MAX_MESSAGES_PER_CYCLE`] messages were processed and there may be more.
+    /// [`MAX_MESSAGES_PER_CYCLE`] messages were processed, and there may be more.
     LimitReached,
 }
 
@@ -35,44 +35,44 @@
     socket: ClientSocket,
     session: Session,
     deadline: ClientDeadline,
-    /// Whether a timer is set for the next cycle, since no event announces the input that is left.
+    /// Whether a timer is set for the next cycle because no event will announce the remaining input.
     cycle_scheduled: bool,
 }
 
 impl Connection {
-    /// Creates the connection of a client that was accepted at `now`. The client may take `response_timeout`
-    /// to read its responses.
+    /// Creates the connection of a client that was accepted at `now`. `client_read_timeout` is the time limit
+    /// for reading its responses.
     pub(super) fn new(
         stream: TcpStream,
         cancel_key: CancelKey,
         budget: &MemoryBudget,
-        response_timeout: Duration,
+        client_read_timeout: Duration,
         now: Instant,
     ) -> Connection {
         Connection {
             socket: ClientSocket::new(stream),
             session: Session::new(cancel_key, budget, now),
-            deadline: ClientDeadline::new(response_timeout),
+            deadline: ClientDeadline::new(client_read_timeout),
             cycle_scheduled: false,
         }
     }
 
-    /// Returns the session, to look at its state.
+    /// Returns the session for inspection of its state.
     pub(super) fn session(&self) -> &Session {
         &self.session
     }
 
-    /// Returns whether a timer, and no event, starts the next cycle of the connection.
+    /// Returns whether a timer rather than an event starts the next cycle of the connection.
     pub(super) fn is_resumed_by_timer(&self) -> bool {
         self.cycle_scheduled || !self.socket.is_registered()
     }
 
-    /// Returns whether the client has not done in time what was due from it.
+    /// Returns whether the client has not performed the expected action in time.
     pub(super) fn has_missed_deadline(&self, now: Instant) -> bool {
         self.deadline.has_expired(now)
     }
 
-    /// Returns whether the connection can be closed in a graceful shutdown: every query received is answered.
+    /// Returns whether a graceful shutdown may close the connection: every query received is answered.
     pub(super) fn can_close(&self) -> bool {
         !self.cycle_scheduled && self.session.is_drained()
     }
@@ -86,22 +86,22 @@
     ) -> Result<(), ConnectionClosed> {
         self.socket.ensure_registered(id, &mut context.reactor);
         let now = context.reactor.now();
-        let mut cycle = Cycle { id, service, context };
+        let mut cycle = CycleContext { id, service, context };
         self.cycle_scheduled = false;
         while !self.session.phase().is_closing() {
             let status = self.session.read_from(&mut self.socket, now)?;
             let unprocessed_before = self.session.unprocessed_bytes();
-            if self.process_messages(&mut cycle)? == Progress::LimitReached {
+            if self.process_messages(&mut cycle)? == BatchStatus::LimitReached {
                 self.schedule_cycle(id, now, cycle.context);
                 return Ok(());
             }
-            // Events are edge-triggered: what a full buffer has left in the socket must be read now that some
-            // of the buffer is free, since no event announces it again.
+            // Events are edge-triggered, so no event announces again what did not fit into a full buffer. It
+            // must be read from the socket now that the buffer has free space.
             if status == ReadStatus::WouldBlock {
                 return Ok(());
             }
-            let is_stuck = self.session.unprocessed_bytes() == unprocessed_before;
-            if is_stuck && !self.close_if_out_of_memory(id, cycle.context)? {
+            let is_stalled = self.session.unprocessed_bytes() == unprocessed_before;
+            if is_stalled && !self.close_if_out_of_memory(id, cycle.context)? {
                 return Ok(());
             }
         }
@@ -109,21 +109,21 @@
         self.discard_input(id, now, cycle.context)
     }
 
-    /// Processes the messages in the input one by one. Each is taken only when all responses so far are
-    /// written: a client that sends and does not read fills its buffers and no more.
-    fn process_messages(&mut self, cycle: &mut Cycle) -> Result<Progress, ConnectionClosed> {
+    /// Processes the messages in the input one by one. Each is taken only after all previous responses are
+    /// written, so that a client that sends without reading cannot use more memory than its buffers.
+    fn process_messages(&mut self, cycle: &mut CycleContext) -> Result<BatchStatus, ConnectionClosed> {
         for _ in 0..MAX_MESSAGES_PER_CYCLE {
             if self.flush()? != FlushStatus::Complete {
-                return Ok(Progress::Blocked);
+                return Ok(BatchStatus::Blocked);
             }
             if self.session.process_next_message(cycle)? == MessageStatus::Blocked {
-                return Ok(Progress::Blocked);
+                return Ok(BatchStatus::Blocked);
             }
             if self.session.phase().is_closing() {
                 self.update_deadline(cycle.id, cycle.context);
             }
         }
-        Ok(Progress::LimitReached)
+        Ok(BatchStatus::LimitReached)
     }
 
     fn close_if_out_of_memory(
@@ -138,7 +138,7 @@
         Ok(is_closing)
     }
 
-    /// Discards what has arrived, at most one buffer in each cycle: a client that sends without pause must
+    /// Discards received input, at most one buffer per cycle, so that a client that sends continuously does
     /// not block the event loop.
     fn discard_input(
         &mut self,
@@ -152,35 +152,35 @@
         Ok(())
     }
 
-    /// Starts the next cycle after those of the other connections.
+    /// Schedules the next cycle, to run after those of the other connections.
     fn schedule_cycle(&mut self, id: ConnectionId, now: Instant, context: &mut Context) {
         self.cycle_scheduled = true;
         context.reactor.set_timer(now, TimerEvent::Client(id));
     }
 
-    /// Writes the output to the socket, and shuts down the sending direction of a closing connection once all
-    /// of it is written.
+    /// Writes the output to the socket. Shuts down the sending direction of a closing connection once all
+    /// output is written.
     fn flush(&mut self) -> Result<FlushStatus, ConnectionClosed> {
         let status = self.session.write_to(&mut self.socket)?;
         match status {
-            // Once only: each shutdown raises an event, which would start cycles endlessly.
+            // Only once: each shutdown raises an event, which would start cycles endlessly.
             FlushStatus::Complete if self.session.phase() == Phase::Closing => {
-                self.socket.shut_down_sending();
-                self.session.sending_shut_down();
+                self.socket.shut_down_write();
+                self.session.mark_half_closed();
             }
-            // A client that reads slowly does read: its time starts anew.
+            // The client reads, even if slowly, so its deadline restarts.
             FlushStatus::Partial => self.deadline.clear(),
             FlushStatus::Complete | FlushStatus::Blocked => {}
         }
         Ok(status)
     }
 
-    /// Adds the final response to the running query. The next cycle writes it.
+    /// Appends the final response to the running query. The next cycle writes it.
     pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
         self.session.add_response(response, now)
     }
 
-    /// Adds the response to an empty query that has waited for an endpoint. The next cycle writes it.
+    /// Appends the response to an empty query that waited for an endpoint. The next cycle writes it.
     pub(super) fn add_response_to_waiting_empty_query(
         &mut self,
         now: Instant,
@@ -188,32 +188,32 @@
         self.session.add_response_to_waiting_empty_query(now)
     }
 
-    /// Starts to close the connection. The client has time to read what it has been sent.
+    /// Starts to close the connection. The client still has time to read its pending responses.
     pub(super) fn close_gracefully(&mut self, id: ConnectionId, context: &mut Context) {
-        self.session.stop_processing();
+        self.session.start_closing();
         self.update_deadline(id, context);
     }
 
-    /// Closes the connection of a client that has not acted in time.
+    /// Closes the connection of a client that has missed its deadline.
     pub(super) fn handle_missed_deadline(
         &mut self,
         id: ConnectionId,
         context: &mut Context,
     ) -> Result<(), ConnectionClosed> {
-        self.session.close_late_client(&mut context.counters)?;
+        self.session.close_timed_out(&mut context.counters)?;
         self.update_deadline(id, context);
         Ok(())
     }
 
-    /// Sets a deadline if something has become due from the client, and clears it if nothing is due any more.
+    /// Sets a deadline if a new action is expected from the client, and clears it if none is expected.
     pub(super) fn update_deadline(&mut self, id: ConnectionId, context: &mut Context) {
-        let action = self.session.due_action();
+        let action = self.session.expected_action();
         if let Some(expires_at) = self.deadline.update(action, context.reactor.now()) {
             context.reactor.set_timer(expires_at, TimerEvent::Client(id));
         }
     }
 
-    /// Passes on a cancel request that is still unread in a connection that is removed.
+    /// Passes on a cancel request that is still unread when the connection is removed.
     pub(super) fn process_final_cancel_request(&mut self, context: &mut Context) {
         self.session.process_final_cancel_request(&mut self.socket, context);
     }
--- a/src/net/frontend/connection_limit.rs
+++ b/src/net/frontend/connection_limit.rs
@@ -72,7 +72,7 @@
         let _ = stream.set_nodelay(true);
         let cancel_key = CancelKey { process_id: self.rng.u32(..), secret: self.rng.u32(..) };
         let now = context.reactor.now();
-        let connection = Connection::new(stream, cancel_key, &self.budget, self.response_timeout, now);
+        let connection = Connection::new(stream, cancel_key, &self.budget, self.client_read_timeout, now);
         let id = self.connections.insert(connection);
         context.counters.clients_accepted += 1;
         self.ready(id, context);
--- a/src/net/frontend/cycle.rs
+++ b/src/net/frontend/cycle.rs
@@ -1,14 +1,14 @@
-//! What one cycle of a connection, which reads, processes and writes, needs from outside the connection.
+//! The context of one read, process and write cycle of a connection.
 
 use super::service_status::ServiceStatus;
 use crate::net::reactor::ConnectionId;
 use crate::net::Context;
 
-/// The surroundings of one cycle.
-pub(super) struct Cycle<'a> {
-    /// The connection.
+/// What one cycle needs from outside the connection.
+pub(super) struct CycleContext<'a> {
+    /// The id of the connection.
     pub(super) id: ConnectionId,
-    /// Whether queries are executed or rejected at present.
+    /// Whether queries are currently executed or rejected.
     pub(super) service: ServiceStatus,
     /// The state that all callbacks share.
     pub(super) context: &'a mut Context,
--- a/src/net/frontend/deadline.rs
+++ b/src/net/frontend/deadline.rs
@@ -1,81 +1,82 @@
-//! Limits the time that a client may take for what it has to do next.
+//! Limits the time that a client may take for the action expected from it next.
 
 use std::time::{Duration, Instant};
 
-/// Time that a client may take to send its first query and to complete a message. Keeps clients that do
+/// Time limit for a client to send its first query and to complete a message. Prevents clients that do
 /// neither from using up the connection limit.
 const CLIENT_SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time that a client may take to read its responses however short the deadlines of requests are, to which
-/// [`READ_MARGIN`] is added.
-const MIN_READ_TIME: Duration = Duration::from_secs(2);
-/// Time that a client may take to read its responses beyond the longest deadline of any request.
-/// After that no client waits for them.
-const READ_MARGIN: Duration = Duration::from_millis(500);
-/// Time that a connection stays open after its last message was written.
-const CLOSE_LINGER: Duration = Duration::from_secs(1);
+/// Lower limit of the time that a client may take to read its responses, however short the deadlines of
+/// requests are. [`CLIENT_READ_MARGIN`] is added to it.
+const MIN_CLIENT_READ_TIME: Duration = Duration::from_secs(2);
+/// Time that a client may take to read its responses beyond the longest deadline of any request. After that,
+/// no client waits for them any more.
+const CLIENT_READ_MARGIN: Duration = Duration::from_millis(500);
+/// Time that a half-closed connection stays open after its last message was written.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time that clients may take to read their responses, where no request has a longer deadline than this.
-pub(super) fn response_timeout(longest_deadline: Duration) -> Duration {
-    longest_deadline.max(MIN_READ_TIME) + READ_MARGIN
+/// Returns the time limit for clients to read their responses. `longest_deadline` is the longest deadline of
+/// any request.
+pub(super) fn client_read_timeout(longest_deadline: Duration) -> Duration {
+    longest_deadline.max(MIN_CLIENT_READ_TIME) + CLIENT_READ_MARGIN
 }
 
-/// What a client has to do next.
+/// The action expected from a client next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum DueAction {
-    /// To send its first query or the rest of a message.
+pub(super) enum ExpectedAction {
+    /// Send its first query or the rest of a message.
     Send,
-    /// To read its responses.
+    /// Read its responses.
     Read,
-    /// To close the connection, of which the pooler has closed its side.
+    /// Close the connection, after the pooler has closed its side.
     Close,
 }
 
-/// What is due from a client, and until when.
+/// An action expected from a client, and when its deadline expires.
 #[derive(Clone, Copy, Debug)]
-struct Due {
-    action: DueAction,
+struct ActionDeadline {
+    action: ExpectedAction,
     expires_at: Instant,
 }
 
-/// The time by which a client must have acted, if anything is due from it.
+/// The deadline of the action expected from a client, if any.
 #[derive(Debug)]
 pub(super) struct ClientDeadline {
-    due: Option<Due>,
-    response_timeout: Duration,
+    current: Option<ActionDeadline>,
+    client_read_timeout: Duration,
 }
 
 impl ClientDeadline {
-    /// Creates the deadline of a client from which nothing is due. It may take `response_timeout` to read its
-    /// responses.
-    pub(super) fn new(response_timeout: Duration) -> ClientDeadline {
-        ClientDeadline { due: None, response_timeout }
+    /// Creates the deadline of a client from which no action is expected. `client_read_timeout` is the time
+    /// limit for reading its responses.
+    pub(super) fn new(client_read_timeout: Duration) -> ClientDeadline {
+        ClientDeadline { current: None, client_read_timeout }
     }
 
     /// Removes the deadline.
     pub(super) fn clear(&mut self) {
-        self.due = None;
+        self.current = None;
     }
 
     /// Returns whether the deadline has passed.
     pub(super) fn has_expired(&self, now: Instant) -> bool {
-        self.due.is_some_and(|due| now >= due.expires_at)
+        self.current.is_some_and(|current| now >= current.expires_at)
     }
 
-    /// Sets a deadline if `action` has become due at `now`, and removes it if nothing is due any more.
-    /// Returns when a new deadline expires, for which a timer has to be set.
-    pub(super) fn update(&mut self, action: Option<DueAction>, now: Instant) -> Option<Instant> {
-        if action == self.due.map(|due| due.action) {
+    /// Sets a new deadline at `now` if `action` differs from the current one, and removes the deadline if no
+    /// action is expected any more. Returns when a new deadline expires; the caller must set a timer for it.
+    pub(super) fn update(&mut self, action: Option<ExpectedAction>, now: Instant) -> Option<Instant> {
+        if action == self.current.map(|current| current.action) {
             return None;
         }
-        self.due = action.map(|action| Due { action, expires_at: now + self.timeout(action) });
-        self.due.map(|due| due.expires_at)
+        self.current = action.map(|action| ActionDeadline { action, expires_at: now + self.timeout(action) });
+        self.current.map(|current| current.expires_at)
     }
 
-    fn timeout(&self, action: DueAction) -> Duration {
+    fn timeout(&self, action: ExpectedAction) -> Duration {
         match action {
-            DueAction::Send => CLIENT_SEND_TIMEOUT,
-            DueAction::Read => self.response_timeout,
-            DueAction::Close => CLOSE_LINGER,
+            ExpectedAction::Send => CLIENT_SEND_TIMEOUT,
+            ExpectedAction::Read => self.client_read_timeout,
+            ExpectedAction::Close => LINGER_TIMEOUT,
         }
     }
 }
--- a/src/net/frontend/deadline/tests.rs
+++ b/src/net/frontend/deadline/tests.rs
@@ -3,55 +3,55 @@
 use super::*;
 
 /// Longer than any other timeout.
-const RESPONSE_TIMEOUT: Duration = Duration::from_secs(9);
+const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(9);
 
 #[rstest]
-#[case::send(DueAction::Send, CLIENT_SEND_TIMEOUT)]
-#[case::read(DueAction::Read, RESPONSE_TIMEOUT)]
-#[case::close(DueAction::Close, CLOSE_LINGER)]
-fn each_action_has_its_timeout(#[case] action: DueAction, #[case] timeout: Duration) {
+#[case::send(ExpectedAction::Send, CLIENT_SEND_TIMEOUT)]
+#[case::read(ExpectedAction::Read, CLIENT_READ_TIMEOUT)]
+#[case::close(ExpectedAction::Close, LINGER_TIMEOUT)]
+fn each_action_has_its_timeout(#[case] action: ExpectedAction, #[case] timeout: Duration) {
     let now = Instant::now();
-    let mut deadline = ClientDeadline::new(RESPONSE_TIMEOUT);
+    let mut deadline = ClientDeadline::new(CLIENT_READ_TIMEOUT);
     assert_eq!(deadline.update(Some(action), now), Some(now + timeout));
     assert!(!deadline.has_expired(now + timeout - Duration::from_millis(1)));
     assert!(deadline.has_expired(now + timeout));
 }
 
 #[test]
-fn a_deadline_stays_as_long_as_the_same_is_due() {
+fn a_deadline_is_unchanged_while_the_same_action_is_expected() {
     let now = Instant::now();
     let later = now + Duration::from_secs(1);
-    let mut deadline = ClientDeadline::new(RESPONSE_TIMEOUT);
-    deadline.update(Some(DueAction::Send), now);
-    assert_eq!(deadline.update(Some(DueAction::Send), later), None, "no timer is set anew");
+    let mut deadline = ClientDeadline::new(CLIENT_READ_TIMEOUT);
+    deadline.update(Some(ExpectedAction::Send), now);
+    assert_eq!(deadline.update(Some(ExpectedAction::Send), later), None, "no new timer is set");
     assert!(deadline.has_expired(now + CLIENT_SEND_TIMEOUT));
-    assert_eq!(deadline.update(Some(DueAction::Read), later), Some(later + RESPONSE_TIMEOUT));
+    assert_eq!(deadline.update(Some(ExpectedAction::Read), later), Some(later + CLIENT_READ_TIMEOUT));
     assert!(!deadline.has_expired(now + CLIENT_SEND_TIMEOUT));
 }
 
 #[test]
-fn nothing_expires_while_nothing_is_due() {
+fn nothing_expires_while_no_action_is_expected() {
     let now = Instant::now();
-    let mut deadline = ClientDeadline::new(RESPONSE_TIMEOUT);
-    deadline.update(Some(DueAction::Send), now);
+    let mut deadline = ClientDeadline::new(CLIENT_READ_TIMEOUT);
+    deadline.update(Some(ExpectedAction::Send), now);
     assert_eq!(deadline.update(None, now), None);
-    assert!(!deadline.has_expired(now + RESPONSE_TIMEOUT));
+    assert!(!deadline.has_expired(now + CLIENT_READ_TIMEOUT));
 }
 
-/// The time of a client that reads slowly starts anew with each part that it has read.
+/// The deadline of a client that reads slowly restarts with each part of the output that it reads.
 #[test]
-fn a_cleared_deadline_starts_anew() {
+fn a_cleared_deadline_restarts() {
     let now = Instant::now();
     let later = now + Duration::from_secs(1);
-    let mut deadline = ClientDeadline::new(RESPONSE_TIMEOUT);
-    deadline.update(Some(DueAction::Read), now);
+    let mut deadline = ClientDeadline::new(CLIENT_READ_TIMEOUT);
+    deadline.update(Some(ExpectedAction::Read), now);
     deadline.clear();
-    assert_eq!(deadline.update(Some(DueAction::Read), later), Some(later + RESPONSE_TIMEOUT));
+    assert_eq!(deadline.update(Some(ExpectedAction::Read), later), Some(later + CLIENT_READ_TIMEOUT));
 }
 
 #[test]
 fn responses_may_be_read_for_longer_than_any_deadline() {
     let longest = Duration::from_secs(8);
-    assert_eq!(response_timeout(longest), longest + READ_MARGIN);
-    assert_eq!(response_timeout(Duration::ZERO), CLIENT_SEND_TIMEOUT + READ_MARGIN);
+    assert_eq!(client_read_timeout(longest), longest + CLIENT_READ_MARGIN);
+    assert_eq!(client_read_timeout(Duration::ZERO), CLIENT_SEND_TIMEOUT + CLIENT_READ_MARGIN);
 }
--- a/src/net/frontend/idle.rs
+++ b/src/net/frontend/idle.rs
@@ -1,6 +1,6 @@
-//! Decides which idle connections are closed while many connections are open.
+//! Selects the idle connections to close while many connections are open.
 //!
-//! Clients that keep a connection open after a single query would otherwise use up the connection limit.
+//! Otherwise, clients that keep a connection open after a single query would use up the connection limit.
 
 use std::time::{Duration, Instant};
 
@@ -17,27 +17,27 @@
 
 /// A connection whose idle timeout has passed.
 pub(super) struct IdleConnection {
-    /// The connection.
+    /// The id of the connection.
     pub(super) id: ConnectionId,
     timeout: Duration,
 }
 
 impl IdleConnection {
-    /// Returns the connection that has been idle for longest, if that is longer than the idle timeout. The
-    /// timeout depends on how many connections are open at present.
+    /// Returns the connection that has been idle for longest, if its idle timeout has passed. The timeout
+    /// depends on the number of open connections.
     pub(super) fn find(connections: &ClientConnections, now: Instant) -> Option<IdleConnection> {
         let timeout = idle_timeout(connections.count_open(), connections.limit())?;
-        let id = connections.least_recently_active(|session| session.has_been_idle(timeout, now))?;
+        let id = connections.least_recently_active(|session| session.has_been_idle_for(timeout, now))?;
         Some(IdleConnection { id, timeout })
     }
 
-    /// Returns whether the session of the connection is still idle.
+    /// Returns whether the connection, whose session this is, is still idle for its timeout.
     pub(super) fn is_still_idle(&self, session: &Session, now: Instant) -> bool {
-        session.has_been_idle(self.timeout, now)
+        session.has_been_idle_for(self.timeout, now)
     }
 }
 
-/// Returns the idle timeout while so many connections are open, or none if they are few.
+/// Returns the idle timeout for this number of open connections, or `None` if they are few.
 fn idle_timeout(open_connections: usize, connection_limit: usize) -> Option<Duration> {
     if open_connections > connection_limit / 2 {
         Some(SHORT_IDLE_TIMEOUT)
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -1,21 +1,21 @@
 //! The client side of the pooler: accepts connections, reads queries and writes responses.
 //!
-//! Each module uses only modules below it, apart from the types at the end and from [`connection_limit`],
-//! which is a part of [`Frontend`] in a file of its own:
+//! Each module depends only on modules listed below it. Exceptions are the shared types in the last line and
+//! [`connection_limit`], which implements a part of [`Frontend`]:
 //!
-//! - [`Frontend`]: hands each event to the connection that it is for.
-//! - [`connection_limit`]: how it accepts connections up to the limit.
+//! - [`Frontend`]: dispatches each event to the connection that it concerns.
+//! - [`connection_limit`]: accepts connections up to the connection limit.
 //! - [`acceptor`]: the listening socket.
-//! - [`idle`]: decides which idle connections are closed when many are open.
+//! - [`idle`]: selects the idle connections to close when many connections are open.
 //! - [`connections`]: the open connections, their limit, and which one is evicted for a new one.
-//! - [`connection`]: the read, process and write cycle of one connection. Owns the three that follow:
+//! - [`connection`]: the read, process and write cycle of one connection. Owns three parts:
 //!   - [`socket`]: the socket and its registration with the reactor.
-//!   - [`session`]: the protocol, with what each message of a client leads to. Owns the three that follow:
+//!   - [`session`]: the protocol, including the processing of each client message. Owns three parts:
 //!     - [`protocol_state`]: the phase of the protocol and its legal transitions.
-//!     - [`input`]: bytes received and not yet processed, with their [`arrivals`].
-//!     - [`output`]: responses and errors that are still to be written.
-//!   - [`deadline`]: what is due from the client, and until when.
-//! - [`cycle`], [`service_status`], [`error`], [`log_limiter`]: used by several of them.
+//!     - [`input`]: bytes received and not yet processed, with their arrival times ([`arrivals`]).
+//!     - [`output`]: responses and errors that are not yet written.
+//!   - [`deadline`]: the action expected from the client, and its deadline.
+//! - [`cycle`], [`service_status`], [`error`], [`log_limiter`]: shared by several of these modules.
 
 mod acceptor;
 mod arrivals;
@@ -56,18 +56,19 @@
 pub(crate) struct Frontend {
     acceptor: Acceptor,
     connections: ClientConnections,
-    /// How long a client may take to read its responses.
-    response_timeout: Duration,
-    /// Limits the memory of all connections together.
+    /// Time limit for a client to read its responses.
+    client_read_timeout: Duration,
+    /// Limits the total memory of all connections.
     budget: MemoryBudget,
     service: ServiceStatus,
-    /// Generates the keys for cancel requests.
+    /// Generates the cancel keys of the connections.
     rng: fastrand::Rng,
 }
 
 impl Frontend {
-    /// Registers the listener and starts the idle sweep. Accepts at most `max_connections` at a time.
-    /// `longest_deadline` is that of all classes of requests. Fails if the listener cannot be registered.
+    /// Registers the listener and schedules the first idle sweep. At most `max_connections` connections are
+    /// open at a time. `longest_deadline` is the longest deadline of any request class. Fails if the listener
+    /// cannot be registered.
     pub fn new(
         listener: TcpListener,
         max_connections: usize,
@@ -81,38 +82,39 @@
         Ok(Frontend {
             acceptor,
             connections: ClientConnections::new(max_connections),
-            response_timeout: deadline::response_timeout(longest_deadline),
+            client_read_timeout: deadline::client_read_timeout(longest_deadline),
             budget,
             service: ServiceStatus::default(),
             rng: fastrand::Rng::with_seed(seed),
         })
     }
 
-    /// Returns whether no client is connected and none is accepted any more.
+    /// Returns whether the listener is closed and no client is connected.
     pub fn is_finished(&self) -> bool {
         self.connections.len() == 0 && !self.acceptor.is_open()
     }
 
-    /// Handles a connection that has become readable or writable.
+    /// Runs a cycle of a connection that has become readable or writable.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let result = connection.run_cycle(id, self.service, context);
         self.finish_cycle(id, result, context);
     }
 
-    /// Handles a connection that its client has closed. Unread input is lost, except a cancel request.
+    /// Handles a connection that its client has closed. Unread input is discarded, except a cancel request.
     pub fn client_disconnected(&mut self, id: ConnectionId, context: &mut Context) {
         self.finish_cycle(id, Err(ConnectionClosed), context);
     }
 
-    /// Handles a timer of a connection: starts its next cycle, or closes it after a missed deadline.
+    /// Handles an expired timer of a connection: runs its next cycle if a timer is to start it, and closes
+    /// the connection if the client has missed its deadline.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
         if self.connections.get_mut(id).is_some_and(|connection| connection.is_resumed_by_timer()) {
             self.ready(id, context);
         }
         let Some(connection) = self.connections.get_mut(id) else { return };
-        // Timers are not cancelled: this one may belong to an earlier deadline.
+        // Timers are not cancelled, so this one may belong to an earlier deadline.
         if !connection.has_missed_deadline(now) {
             return;
         }
@@ -122,12 +124,12 @@
         self.finish_cycle(id, result, context);
     }
 
-    /// Closes the connections whose idle timeout has passed, those idle for longest first.
+    /// Closes the connections whose idle timeout has passed, the longest idle first.
     pub fn close_idle_connections(&mut self, context: &mut Context) {
         let now = context.reactor.now();
         context.reactor.set_timer(now + IDLE_SWEEP_INTERVAL, TimerEvent::IdleSweep);
         while let Some(idle) = IdleConnection::find(&self.connections, now) {
-            // Input that has arrived by now ends the idle time.
+            // The socket may already hold new input, which ends the idle time.
             self.ready(idle.id, context);
             let Some(connection) = self.connections.get_mut(idle.id) else { continue };
             if !idle.is_still_idle(connection.session(), now) {
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Sends the final response to the query of a connection.
+    /// Sends the final response to the running query of a connection. Does nothing if no query is running.
     pub fn respond(&mut self, id: ConnectionId, response: Response, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         if connection.session().phase() != Phase::Busy {
@@ -153,12 +155,12 @@
         self.finish_cycle(id, result, context);
     }
 
-    /// Returns the connection whose running query a cancel request with this key refers to.
+    /// Returns the connection whose running query is the target of a cancel request with this key.
     pub fn find_by_cancel_key(&self, key: CancelKey) -> Option<ConnectionId> {
         self.connections.find(|session| session.is_cancelled_by(key))
     }
 
-    /// Marks the pooler as able to execute queries and responds to the empty queries that wait for that.
+    /// Marks the pooler as ready to execute queries and responds to the empty queries that wait for that.
     pub fn set_ready(&mut self, context: &mut Context) {
         if self.service.is_ready() {
             return;
@@ -177,7 +179,8 @@
         self.finish_cycle(id, result, context);
     }
 
-    /// Closes each connection once all its queries are answered, and rejects queries as the drain says.
+    /// Starts to drain the connections: each is closed once all its queries are answered, and further queries
+    /// are rejected as [`Drain::rejects`] decides.
     pub fn start_draining(&mut self, drain: Drain, context: &mut Context) {
         self.service.start_draining(drain);
         for id in self.connections.ids() {
@@ -185,13 +188,15 @@
         }
     }
 
-    /// Returns the clients whose running query is a blocking request: any unread input behind it counts.
+    /// Returns the clients whose running query is a blocking request, that is, a query with unread input
+    /// behind it. The input need not be a complete query.
     pub fn clients_with_blocking_requests(&self) -> Vec<ConnectionId> {
         self.connections.find_all(Session::has_blocking_request)
     }
 
-    /// Completes a cycle: closes a drained connection during the shutdown, updates the client's deadline,
-    /// removes a connection that is closed, and accepts waiting connections if the limit may allow them now.
+    /// Completes a cycle: closes the connection if it is drained during a shutdown, updates the client's
+    /// deadline, removes the connection if it is closed, and accepts waiting connections if the connection
+    /// limit may now allow them.
     fn finish_cycle(
         &mut self,
         id: ConnectionId,
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -1,12 +1,12 @@
-//! The session of a client: its protocol state with its input and output, and what is due from the client. It
-//! neither owns the socket nor sets timers. [`messages`] processes what the client sends.
+//! The session of a client: its protocol state, its input and output, and the action expected from the
+//! client. It neither owns the socket nor sets timers. [`messages`] processes the messages of the client.
 
 mod messages;
 
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-use super::deadline::DueAction;
+use super::deadline::ExpectedAction;
 use super::error::ConnectionClosed;
 use super::input::Input;
 use super::output::{FlushStatus, Output};
@@ -19,12 +19,12 @@
 
 /// A client's session.
 pub(super) struct Session {
-    /// The key that a request to cancel the session's query has to carry.
+    /// The key that a cancel request for the session's query must carry.
     cancel_key: CancelKey,
     state: ProtocolState,
     input: Input,
     output: Output,
-    /// When the client was last sent a response, or connected if there was none.
+    /// When the last response was added, or when the client was accepted if there was none.
     last_responded_at: Instant,
 }
 
@@ -45,17 +45,18 @@
         self.state.phase()
     }
 
-    /// Returns when the client last sent something or was last sent a response.
+    /// Returns when the last input was received or the last response was added, whichever is later.
     pub(super) fn last_active_at(&self) -> Instant {
         self.input.last_received_at().max(self.last_responded_at)
     }
 
-    /// Returns whether a cancel request with this key refers to the running query.
+    /// Returns whether a query is running that a cancel request with this key refers to.
     pub(super) fn is_cancelled_by(&self, key: CancelKey) -> bool {
         self.cancel_key == key && self.phase() == Phase::Busy
     }
 
-    /// Returns whether the running query is a blocking request: any unread input behind it counts.
+    /// Returns whether the running query is a blocking request, that is, a query with unread input behind it.
+    /// The input need not be a complete query.
     pub(super) fn has_blocking_request(&self) -> bool {
         self.phase() == Phase::Busy && !self.input.is_empty()
     }
@@ -65,45 +66,47 @@
         self.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether the session has been idle for the timeout. Clients that have sent no query yet are
-    /// left out: they have a deadline of their own.
-    pub(super) fn has_been_idle(&self, timeout: Duration, now: Instant) -> bool {
+    /// Returns whether the session has been idle for at least `timeout`. Sessions whose client has not sent a
+    /// query yet do not count as idle here, since the deadline for the first query applies to them.
+    pub(super) fn has_been_idle_for(&self, timeout: Duration, now: Instant) -> bool {
         self.state.has_queried() && self.is_idle() && now >= self.last_active_at() + timeout
     }
 
-    /// Returns whether every query received is answered, although the answer may be still to be written. An
-    /// incomplete message is not a query. An empty query that waits for an endpoint is left unanswered.
+    /// Returns whether every query received is answered, even if responses are not completely written yet. An
+    /// incomplete message does not count as a query, and neither does an empty query that waits for an
+    /// endpoint, which remains unanswered.
     pub(super) fn is_drained(&self) -> bool {
         if self.phase() == Phase::Busy || self.phase().is_closing() {
             return false;
         }
-        // With empty output all complete messages were processed. Otherwise unread input may hold a query.
+        // If the output is empty, all complete messages are processed. Otherwise, the input may hold a query.
         self.output.is_empty() || self.input.is_empty()
     }
 
-    /// Returns what the client has to do next, if anything.
-    pub(super) fn due_action(&self) -> Option<DueAction> {
+    /// Returns the action expected from the client next, if any.
+    pub(super) fn expected_action(&self) -> Option<ExpectedAction> {
         let has_unread_output = !self.output.is_empty();
         match self.phase() {
             Phase::Busy | Phase::AwaitingEndpoints => None,
-            Phase::HalfClosed => Some(DueAction::Close),
-            Phase::Closing => Some(DueAction::Read),
+            Phase::HalfClosed => Some(ExpectedAction::Close),
+            Phase::Closing => Some(ExpectedAction::Read),
             Phase::Startup | Phase::Idle | Phase::SkippingToSync if has_unread_output => {
-                Some(DueAction::Read)
+                Some(ExpectedAction::Read)
             }
-            Phase::Startup => Some(DueAction::Send),
+            Phase::Startup => Some(ExpectedAction::Send),
             Phase::Idle | Phase::SkippingToSync => {
-                (!self.state.has_queried() || !self.input.is_empty()).then_some(DueAction::Send)
+                (!self.state.has_queried() || !self.input.is_empty()).then_some(ExpectedAction::Send)
             }
         }
     }
 
-    /// Returns the number of bytes that were received and are not processed.
+    /// Returns the number of bytes that are received but not yet processed.
     pub(super) fn unprocessed_bytes(&self) -> usize {
         self.input.len()
     }
 
-    /// Reads what has arrived at `now`. Fails if the client has closed the connection.
+    /// Reads the available input, with `now` as its time of arrival. Fails if the client has closed the
+    /// connection.
     pub(super) fn read_from(
         &mut self,
         source: &mut impl Read,
@@ -112,35 +115,35 @@
         self.input.read_from(source, now)
     }
 
-    /// Discards what has arrived, at most one buffer. Returns whether more may be left. Fails if the client
-    /// has closed the connection.
+    /// Discards the available input, at most one buffer. Returns whether more may be left. Fails if the
+    /// client has closed the connection.
     pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
         self.input.discard_from(source)
     }
 
-    /// Writes as much output as the sink takes without blocking.
+    /// Writes as much output as the sink accepts without blocking.
     pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, ConnectionClosed> {
         self.output.write_to(sink)
     }
 
-    /// Starts to close the session: no message is processed any more, and pending output is still sent.
-    pub(super) fn stop_processing(&mut self) {
+    /// Starts to close the session: no further messages are processed, but pending output is still sent.
+    pub(super) fn start_closing(&mut self) {
         self.state.start_closing();
     }
 
-    /// Records that all output of the closing session is sent and the sending direction is shut down.
-    pub(super) fn sending_shut_down(&mut self) {
+    /// Records that all output of the closing session is written and the sending direction is shut down.
+    pub(super) fn mark_half_closed(&mut self) {
         self.state.half_close();
     }
 
-    /// Adds the final response to the running query.
+    /// Appends the final response to the running query.
     pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
         self.last_responded_at = now;
         self.state.finish_query();
         self.output.push_response(response)
     }
 
-    /// Adds the response to an empty query that has waited for an endpoint.
+    /// Appends the response to an empty query that waited for an endpoint.
     pub(super) fn add_response_to_waiting_empty_query(
         &mut self,
         now: Instant,
@@ -149,9 +152,9 @@
         self.add_response_to_empty_query()
     }
 
-    /// Closes the session of a client that has not acted in time. An incomplete message is answered with an
-    /// error. A client that has sent nothing gets none: it could be taken for the response to a query.
-    pub(super) fn close_late_client(&mut self, counters: &mut Counters) -> Result<(), ConnectionClosed> {
+    /// Closes the session of a client that has missed its deadline. An incomplete message is answered with an
+    /// error. If there is no input, no error is sent, since it could be taken for the response to a query.
+    pub(super) fn close_timed_out(&mut self, counters: &mut Counters) -> Result<(), ConnectionClosed> {
         if self.phase().is_closing() {
             return Err(ConnectionClosed);
         }
@@ -163,13 +166,13 @@
             let message = "message not completed in time";
             return self.close_with_error(sqlstate::PROTOCOL_VIOLATION, message, counters);
         }
-        self.stop_processing();
+        self.start_closing();
         Ok(())
     }
 
-    /// Closes a session whose input buffer cannot grow for the rest of a message. Since messages that are too
-    /// long for any buffer are rejected earlier, the memory budget is used up, and the buffer would occupy
-    /// its share without end. Returns whether the session is closed.
+    /// Closes a session whose input buffer cannot grow to hold the rest of a message. Messages that exceed
+    /// the maximum buffer size are rejected earlier, so the memory budget is exhausted, and the buffer would
+    /// hold its share of it indefinitely. Returns whether the session is being closed.
     pub(super) fn close_if_out_of_memory(
         &mut self,
         counters: &mut Counters,
@@ -181,8 +184,8 @@
         Ok(is_closing)
     }
 
-    /// Passes on a cancel request that was not processed when the connection was closed: a client may close
-    /// it right after sending the request.
+    /// Passes on a cancel request that was not yet processed when the connection was closed. A client may
+    /// close the connection right after sending the request.
     pub(super) fn process_final_cancel_request(&mut self, source: &mut impl Read, context: &mut Context) {
         if self.phase() != Phase::Startup {
             return;
@@ -197,7 +200,7 @@
         self.output.push_empty_query_response()
     }
 
-    /// Adds a fatal error and starts to close the session.
+    /// Appends a fatal error and starts to close the session.
     fn close_with_error(
         &mut self,
         code: &str,
@@ -206,7 +209,7 @@
     ) -> Result<(), ConnectionClosed> {
         counters.malformed += 1;
         self.output.push_fatal_error(code, message)?;
-        self.stop_processing();
+        self.start_closing();
         Ok(())
     }
 }
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -1,9 +1,9 @@
-//! What each message of a client leads to.
+//! Processes the messages of a client.
 
 use std::time::Duration;
 
 use super::Session;
-use crate::net::frontend::cycle::Cycle;
+use crate::net::frontend::cycle::CycleContext;
 use crate::net::frontend::error::ConnectionClosed;
 use crate::net::frontend::protocol_state::Phase;
 use crate::net::postgres::{
@@ -11,18 +11,18 @@
 };
 use crate::net::{Context, Event, Query};
 
-/// What came of looking for a message to process.
+/// The result of an attempt to process the next message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::net::frontend) enum MessageStatus {
     /// A message was processed.
     Processed,
-    /// The next message is incomplete, or a response or an endpoint must come first.
+    /// The next message is incomplete, or processing must wait for a response or an endpoint.
     Blocked,
 }
 
 /// A complete message of a client.
-enum ClientRequest {
-    /// The first message, which has no kind.
+enum IncomingMessage {
+    /// A message of the startup phase, which has no kind.
     Startup(Startup),
     /// Any later message.
     Message(ClientMessage),
@@ -32,12 +32,12 @@
     /// Processes the next message if it is complete and the state allows it.
     pub(in crate::net::frontend) fn process_next_message(
         &mut self,
-        cycle: &mut Cycle,
+        cycle: &mut CycleContext,
     ) -> Result<MessageStatus, ConnectionClosed> {
         match self.next_message() {
             Ok(None) => return Ok(MessageStatus::Blocked),
-            Ok(Some(ClientRequest::Startup(startup))) => self.process_startup(startup, cycle.context)?,
-            Ok(Some(ClientRequest::Message(message))) => {
+            Ok(Some(IncomingMessage::Startup(startup))) => self.process_startup(startup, cycle.context)?,
+            Ok(Some(IncomingMessage::Message(message))) => {
                 self.process_message(&message, cycle)?;
             }
             Err(error) => self.reject_frame(error, cycle.context)?,
@@ -45,16 +45,18 @@
         Ok(MessageStatus::Processed)
     }
 
-    /// Takes the next message off the input if it is complete and the state allows to process it.
-    fn next_message(&mut self) -> Result<Option<ClientRequest>, FrameError> {
+    /// Takes the next message from the input if it is complete and the state allows it to be processed.
+    fn next_message(&mut self) -> Result<Option<IncomingMessage>, FrameError> {
         match self.phase() {
-            Phase::Startup => Ok(self.input.take_startup()?.map(ClientRequest::Startup)),
-            Phase::Idle | Phase::SkippingToSync => Ok(self.input.take_message()?.map(ClientRequest::Message)),
+            Phase::Startup => Ok(self.input.take_startup()?.map(IncomingMessage::Startup)),
+            Phase::Idle | Phase::SkippingToSync => {
+                Ok(self.input.take_message()?.map(IncomingMessage::Message))
+            }
             Phase::AwaitingEndpoints | Phase::Busy | Phase::Closing | Phase::HalfClosed => Ok(None),
         }
     }
 
-    /// Closes the session of a client whose input cannot be split into messages.
+    /// Reports a framing error to the client and closes its session.
     fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), ConnectionClosed> {
         let code = match error {
             FrameError::Malformed => sqlstate::PROTOCOL_VIOLATION,
@@ -85,7 +87,7 @@
     fn process_message(
         &mut self,
         message: &ClientMessage,
-        cycle: &mut Cycle,
+        cycle: &mut CycleContext,
     ) -> Result<(), ConnectionClosed> {
         match message.kind {
             Some(ClientMessageKind::Terminate) => Err(ConnectionClosed),
@@ -109,8 +111,8 @@
             Some(ClientMessageKind::FunctionCall) => {
                 self.output.push_error(sqlstate::FEATURE_NOT_SUPPORTED, "function calls are not served")
             }
-            // Flush has no effect on a simple query. A password or copy message belongs to an exchange that
-            // is over or was never started.
+            // Flush has no effect on simple queries. Password and copy messages belong to an exchange that is
+            // over or was never started.
             Some(
                 ClientMessageKind::Flush
                 | ClientMessageKind::Password
@@ -125,7 +127,7 @@
         }
     }
 
-    fn process_query(&mut self, body: &[u8], cycle: &mut Cycle) -> Result<(), ConnectionClosed> {
+    fn process_query(&mut self, body: &[u8], cycle: &mut CycleContext) -> Result<(), ConnectionClosed> {
         match postgres::parse_query(body) {
             Ok(ParsedQuery::Empty) if cycle.service.is_ready() => self.add_response_to_empty_query(),
             Ok(ParsedQuery::Empty) => {
@@ -140,14 +142,19 @@
         }
     }
 
-    /// Passes a query on for execution, or rejects it during the shutdown or without memory for it.
-    fn start_query(&mut self, mut query: Box<Query>, cycle: &mut Cycle) -> Result<(), ConnectionClosed> {
+    /// Passes a query on for execution. Rejects it if the shutdown requires that or if there is no memory for
+    /// its statement.
+    fn start_query(
+        &mut self,
+        mut query: Box<Query>,
+        cycle: &mut CycleContext,
+    ) -> Result<(), ConnectionClosed> {
         let received_at = self.input.message_received_at();
         if let Some(drain) = cycle.service.rejecting_drain(received_at) {
             let code = sqlstate::CANNOT_CONNECT_NOW;
             return self.reject_query(code, "shutting down", drain.retry_after(), cycle);
         }
-        // Each statement is within its own limit, but many of them together may exceed the memory.
+        // The length of each statement is limited, but many statements together may exceed the memory budget.
         let Ok(memory) = self.input.reserve_memory(query.statement.text.len()) else {
             return self.reject_query(sqlstate::TOO_MANY_CONNECTIONS, "no memory", None, cycle);
         };
@@ -157,13 +164,13 @@
         Ok(())
     }
 
-    /// Answers a query that is not passed on with a rejection.
+    /// Rejects a query that was not passed on for execution.
     fn reject_query(
         &mut self,
         code: &str,
         message: &str,
         retry_after: Option<Duration>,
-        cycle: &mut Cycle,
+        cycle: &mut CycleContext,
     ) -> Result<(), ConnectionClosed> {
         cycle.context.counters.rejected += 1;
         self.output.push_rejection(code, message, retry_after)
--- a/src/net/frontend/socket.rs
+++ b/src/net/frontend/socket.rs
@@ -9,10 +9,10 @@
 
 use crate::net::reactor::{ConnectionId, EventSource, Reactor, TimerEvent};
 
-/// Delay before the socket is registered again after the system had no memory for it.
+/// Delay before registering the socket again after the system lacked the memory for it.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A connected socket.
+/// The connected socket of a client.
 pub(super) struct ClientSocket {
     stream: TcpStream,
     is_registered: bool,
@@ -29,8 +29,8 @@
         self.is_registered
     }
 
-    /// Registers the socket with the reactor, unless it is registered. If that fails, sets a timer to try
-    /// again, so that no client is reset because the system is short of memory for a moment.
+    /// Registers the socket with the reactor, unless it is already registered. If that fails, sets a timer to
+    /// retry, so that no connection is reset because the system is briefly short of memory.
     pub(super) fn ensure_registered(&mut self, id: ConnectionId, reactor: &mut Reactor) {
         if self.is_registered {
             return;
@@ -42,9 +42,9 @@
         }
     }
 
-    /// Shuts down the sending direction only. Closing the socket with unread input would reset the
+    /// Shuts down only the sending direction. Closing the socket with unread input would reset the
     /// connection, and the client might lose the last message.
-    pub(super) fn shut_down_sending(&self) {
+    pub(super) fn shut_down_write(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! Connections of clients where the system is short of memory or a client reads slowly.
+//! Tests of client connections while the system is short of memory or a client reads slowly.
 
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -12,25 +12,25 @@
 use crate::net::postgres;
 use crate::net::reactor::{EventSource, Reactor};
 
-/// The longest deadline of the classes of requests.
+/// The longest deadline of any request class.
 const LONGEST_DEADLINE: Duration = Duration::from_secs(8);
 const MEMORY: usize = 1_000_000;
-/// Less than the kernel's buffers would otherwise hold.
+/// Smaller than the kernel's default socket buffers.
 const SOCKET_BUFFER: usize = 4096;
-/// More than fits into the buffers of both sockets.
+/// Larger than the buffers of both sockets together.
 static LONG_RESPONSE: [u8; 150_000] = [b'x'; 150_000];
-/// Long after the time in which a client has to read its last message once it is written.
-const LONG_AFTER_LINGER: Duration = Duration::from_millis(1900);
+/// Well beyond the time that a connection stays open after its last message was written.
+const BEYOND_LINGER_TIMEOUT: Duration = Duration::from_millis(1900);
 /// A startup message without parameters.
 const STARTUP: &[u8] = b"\0\0\0\x09\0\x03\0\0\0";
 /// The type of the message that answers a startup message.
 const AUTHENTICATION: u8 = b'R';
-/// A query that can be executed.
+/// A valid query.
 const QUERY: &[u8] = b"/*id=a1,c=read,cluster=2,d=500*/ SELECT 1";
-/// Time after which a read of the client fails, so that no test hangs.
+/// Timeout for reads of the client, so that no test hangs.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A frontend whose connection limit is one, and one client.
+/// A frontend with a connection limit of one, and one client.
 struct Fixture {
     poll: Poll,
     context: Context,
@@ -39,7 +39,7 @@
 }
 
 impl Fixture {
-    /// Connects a client whose registration fails so many times.
+    /// Connects a client. The first `failing_registrations` attempts to register its socket fail.
     fn new(failing_registrations: usize) -> Fixture {
         let poll = Poll::new().unwrap();
         let reactor = Reactor::new(&poll).unwrap();
@@ -65,7 +65,7 @@
         self.frontend.connections.get_mut(id).unwrap()
     }
 
-    /// Has a query answered with a response that does not fit into the sockets, and starts to close the
+    /// Responds to a query with a value that does not fit into the socket buffers, and starts to close the
     /// connection.
     fn close_with_long_response(&mut self) {
         let id = self.connection_id();
@@ -82,7 +82,7 @@
     }
 }
 
-/// A connection once was reset where the system had no memory to report its events.
+/// Guards against resetting a connection when the system lacks the memory to register its socket.
 #[test]
 fn a_client_is_served_although_its_registration_fails_at_first() {
     let mut fixture = Fixture::new(2);
@@ -100,7 +100,7 @@
     assert!(events.iter().any(|event| EventSource::from(event.token()) == EventSource::Client(id)));
 }
 
-/// A connection whose last response was still to be written was once evicted for a new client.
+/// Guards against evicting a connection for a new client before its last response is written.
 #[test]
 fn a_closing_connection_is_evicted_only_once_its_response_is_written() {
     let mut fixture = Fixture::new(0);
@@ -121,12 +121,12 @@
     assert_eq!(fixture.frontend.connections.capacity(), Capacity::Evict(id));
 }
 
-/// A response that was still to be written was once cut a second after the connection began to close, and any
-/// other response after two seconds, although requests may take longer.
+/// Guards against fixed read timeouts, which cut off unwritten responses one second after a connection began
+/// to close, and after two seconds otherwise, although requests may take longer.
 #[test]
-fn a_client_has_as_long_to_read_its_response_as_it_may_wait_for_it() {
+fn a_closing_connection_keeps_the_read_timeout_while_its_response_is_not_written() {
     let mut fixture = Fixture::new(0);
     fixture.close_with_long_response();
-    let long_after = fixture.context.reactor.now() + LONG_AFTER_LINGER;
+    let long_after = fixture.context.reactor.now() + BEYOND_LINGER_TIMEOUT;
     assert!(!fixture.connection().has_missed_deadline(long_after));
 }
