--- a/src/net/frontend/connection_limit.rs
+++ b/src/net/frontend/connection_limit.rs
@@ -20,9 +20,8 @@
         }
     }
 
-    /// Closes the listener once the connections in its accept queue are accepted, which is immediately unless
-    /// the connection limit is reached. Queries are still served until
-    /// [`start_draining`](Self::start_draining).
+    /// Closes the listener once the connections in its accept queue are accepted: immediately, unless the
+    /// connection limit is reached. Queries are still served until [`start_draining`](Self::start_draining).
     pub fn stop_accepting(&mut self, context: &mut Context) {
         self.acceptor.close_once_queue_is_empty();
         self.accept(context);
--- a/src/net/frontend/idle.rs
+++ b/src/net/frontend/idle.rs
@@ -31,7 +31,7 @@
         Some(IdleConnection { id, timeout })
     }
 
-    /// Returns whether the connection, whose session this is, is still idle for its timeout.
+    /// Returns whether `session`, which must be that of this connection, has still been idle for the timeout.
     pub(super) fn is_still_idle(&self, session: &Session, now: Instant) -> bool {
         session.has_been_idle_for(self.timeout, now)
     }
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -106,7 +106,7 @@
         self.finish_cycle(id, Err(ConnectionClosed), context);
     }
 
-    /// Handles an expired timer of a connection: runs its next cycle if a timer is to start it, and closes
+    /// Handles an expired timer of a connection: runs its next cycle if it was left to a timer, and closes
     /// the connection if the client has missed its deadline.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -153,7 +153,7 @@
     }
 
     /// Closes the session of a client that has missed its deadline. An incomplete message is answered with an
-    /// error. If there is no input, no error is sent, since it could be taken for the response to a query.
+    /// error. Without pending input no error is sent, since it could be taken for the response to a query.
     pub(super) fn close_timed_out(&mut self, counters: &mut Counters) -> Result<(), ConnectionClosed> {
         if self.phase().is_closing() {
             return Err(ConnectionClosed);
