--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -7,7 +7,7 @@
 mod latency;
 
 use crate::policy::cluster::{Cluster, EndpointKey};
-use crate::policy::request::{PendingRequest, QuotaUse};
+use crate::policy::request::{PendingRequest, QuotaStatus};
 use crate::policy::token_bucket::TokenBucket;
 use crate::settings::{RequestClass, Settings};
 use crate::time::{LocalInstant, Span};
@@ -53,23 +53,23 @@
         };
         Admission {
             latencies: settings.classes.iter().map(initial_latency).collect(),
-            tenant_quotas: settings.tenant_quota.iter().map(bucket).collect(),
+            tenant_quotas: settings.tenant_quotas.iter().map(bucket).collect(),
             shedding_logged_until: None,
         }
     }
 
     /// Charges a request to the quota of its tenant.
-    pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaUse {
+    pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaStatus {
         let quota = self.tenant_quotas.get_mut(tenant).and_then(Option::as_mut);
         if quota.is_none_or(|quota| quota.refill(now).withdraw_up_to_one()) {
-            QuotaUse::Within
+            QuotaStatus::Within
         } else {
-            QuotaUse::Beyond
+            QuotaStatus::Exceeded
         }
     }
 
     /// The latency of a class.
-    pub(crate) fn latency(&self, class: usize) -> &LatencyEstimator {
+    pub(crate) fn class_latency(&self, class: usize) -> &LatencyEstimator {
         &self.latencies[class]
     }
 
@@ -94,8 +94,9 @@
         cluster: &Cluster,
     ) -> bool {
         // A late request must not wait in a longer queue: it would delay the requests that are still in time.
-        let is_late = cluster.now() >= request.terms().objective_at;
-        let ends_at = if is_late { request.terms().deadline } else { request.terms().objective_at };
+        let is_late = cluster.now() >= request.context().objective_expires_at;
+        let ends_at =
+            if is_late { request.context().deadline } else { request.context().objective_expires_at };
         let time_left = ends_at - cluster.now();
         let objective = time_left.min(cluster.class(request.class()).latency_objective) * objective_factor;
         let priority = self.relative_priority(request, cluster);
@@ -111,14 +112,14 @@
         let priorities = classes.map(|(class, latency)| priority(class, latency));
         let highest = priorities.fold(MIN_HIGHEST_PRIORITY, f64::max);
         let own = priority(cluster.class(request.class()), &self.latencies[request.class()]) / highest;
-        match request.terms().quota_use {
-            QuotaUse::Within => own,
-            QuotaUse::Beyond => own * settings.over_quota_weight,
+        match request.context().quota_status {
+            QuotaStatus::Within => own,
+            QuotaStatus::Exceeded => own * settings.over_quota_weight,
         }
     }
 
     /// Notes that load is shed. Returns whether that is to be logged.
-    pub(crate) fn note_shedding(&mut self, now: LocalInstant) -> bool {
+    pub(crate) fn record_shedding(&mut self, now: LocalInstant) -> bool {
         let is_logged = self.shedding_logged_until.is_none_or(|until| now >= until);
         self.shedding_logged_until = Some(now + SHEDDING_LOG_INTERVAL);
         is_logged
--- a/src/policy/cluster/endpoint_table/tests.rs
+++ b/src/policy/cluster/endpoint_table/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::time::tests::{at, cluster};
+use crate::time::tests::{at, cluster_at};
 
 fn entry(id: &str, group: u32, status: EndpointStatus) -> Endpoint {
     Endpoint { id: id.into(), group, status, ..Endpoint::default() }
@@ -29,7 +29,7 @@
 fn an_unknown_endpoint_that_is_removed_is_not_added() {
     let mut table = EndpointTable::default();
     table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], at(1.0));
-    assert_eq!((status(&table, "a"), table.slots()), (None, 0));
+    assert_eq!((status(&table, "a"), table.slot_count()), (None, 0));
 }
 
 #[test]
@@ -39,7 +39,7 @@
     table.apply(UpdateKind::Delta, &[serving("a", 2)], at(2.0));
     let sizes: Vec<usize> = table.groups.values().map(|group| group.members().len()).collect();
     assert_eq!((table.group_ids(), sizes), (vec![1, 2], vec![0, 1]));
-    table.forget_empty_groups();
+    table.remove_empty_groups();
     assert_eq!(table.group_ids(), [2]);
 }
 
@@ -48,18 +48,19 @@
     let mut table = EndpointTable::default();
     table.apply(UpdateKind::Delta, &[serving("a", 0)], at(1.0));
     table.apply(UpdateKind::Delta, &[entry("a", 0, EndpointStatus::Removed)], at(2.0));
-    table.forget_removed(0, at(1.0));
+    table.purge_removed(0, at(1.0));
     assert_eq!(status(&table, "a"), Some(EndpointStatus::Removed), "it was listed until then");
-    table.forget_removed(0, at(1.5));
+    table.purge_removed(0, at(1.5));
     assert_eq!(status(&table, "a"), None);
     table.apply(UpdateKind::Delta, &[serving("b", 0)], at(3.0));
-    assert_eq!((status(&table, "b"), table.slots()), (Some(EndpointStatus::Serving), 1));
+    assert_eq!((status(&table, "b"), table.slot_count()), (Some(EndpointStatus::Serving), 1));
 }
 
 #[test]
 fn an_update_names_the_endpoints_that_it_adds_and_those_that_have_restarted() {
     let mut table = EndpointTable::default();
-    let started = |id: &str, seconds: f64| Endpoint { started_at: Some(cluster(seconds)), ..serving(id, 0) };
+    let started =
+        |id: &str, seconds: f64| Endpoint { started_at: Some(cluster_at(seconds)), ..serving(id, 0) };
     let update = table.apply(UpdateKind::Snapshot, &[started("a", 1.0), serving("b", 0)], at(2.0));
     assert_eq!(update, StartedEndpoints { added: vec![0, 1], restarted: vec![] });
     let update = table.apply(UpdateKind::Delta, &[started("a", 1.0), started("b", 3.0)], at(4.0));
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -22,13 +22,13 @@
 
 /// What the pooler knows of the writes of sessions.
 #[derive(Default)]
-pub(crate) struct Sessions {
+pub(crate) struct SessionTracker {
     commits: SessionTable,
     /// Any session may have written until then, although no write of it is remembered.
     unknown_writes_until: Option<LocalInstant>,
 }
 
-impl Sessions {
+impl SessionTracker {
     /// Notes that writes until this time are not known, as after a restart: any session may have written.
     pub(crate) fn assume_writes_until(&mut self, now: LocalInstant) {
         self.unknown_writes_until = Some(now);
@@ -79,7 +79,7 @@
                 self.unknown_writes_until = Some(cluster.now());
             }
         }
-        self.commits.forget(MAX_SESSION_WRITES, cluster.likely_now() - MAX_SESSION_AGE);
+        self.commits.forget(MAX_SESSION_WRITES, cluster.estimated_now() - MAX_SESSION_AGE);
     }
 }
 
@@ -99,5 +99,5 @@
 /// The commit that an endpoint reported for a write.
 fn reported_commit(result: &AttemptResult, cluster: &Cluster) -> Option<LogPosition> {
     let position = result.log_position.filter(|_| result.outcome == Outcome::Success)?;
-    cluster.clock().is_credible(position, cluster.now()).then_some(position)
+    cluster.clock().is_plausible(position, cluster.now()).then_some(position)
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -126,7 +126,7 @@
     /// Request classes, by number.
     pub classes: Vec<RequestClass>,
     /// Requests per second within each tenant's quota, over all poolers; `None` for a tenant without a limit.
-    pub tenant_quota: Vec<Option<f64>>,
+    pub tenant_quotas: Vec<Option<f64>>,
     /// Weight of a request beyond its tenant's quota, relative to one within it.
     pub over_quota_weight: f64,
     /// How many poolers share the endpoints.
@@ -189,11 +189,11 @@
     }
 
     /// Capacity of an endpoint so long after its start, as a share of its full one.
-    pub fn capacity_after(&self, time: Span) -> f64 {
-        if time >= self.slow_start_window {
+    pub fn capacity_at_uptime(&self, uptime: Span) -> f64 {
+        if uptime >= self.slow_start_window {
             return 1.0;
         }
-        let warmed_up = (time / self.slow_start_window).max(0.0);
+        let warmed_up = (uptime / self.slow_start_window).max(0.0);
         self.initial_capacity + (1.0 - self.initial_capacity) * warmed_up
     }
 }
@@ -202,7 +202,7 @@
     fn default() -> Self {
         Settings {
             classes: vec![RequestClass::default()],
-            tenant_quota: Vec::new(),
+            tenant_quotas: Vec::new(),
             over_quota_weight: 1.0,
             pooler_count: 1,
             zone: 0,
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -57,7 +57,7 @@
     let mut settings = default_settings();
     settings.classes[KEYED_WRITE].deduplication_window = secs([0.4, 0.8, 1.2, 2.0][random.usize(..4)]);
     Settings {
-        tenant_quota: if random.bool() { vec![Some(50.0), Some(3.0)] } else { Vec::new() },
+        tenant_quotas: if random.bool() { vec![Some(50.0), Some(3.0)] } else { Vec::new() },
         over_quota_weight: random.f64(),
         pooler_count: [1, 3, 20][random.usize(..3)],
         health_checks: random.bool(),
@@ -81,7 +81,7 @@
         let listed = hosts.listed();
         let sim = Simulation::with_endpoints(settings.clone(), seed, |_| listed.clone());
         let mut checker = Checker::new(settings.clone(), sim.now);
-        let first = Event::Endpoints { kind: UpdateKind::Cached, endpoints: listed };
+        let first = Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: listed };
         checker.observe_event(sim.now, &first);
         for action in &sim.actions {
             assert!(checker.check_action(action).is_ok(), "nothing is sent before the first request");
@@ -127,7 +127,7 @@
             let horizon = earliest.map_or(end, |index| self.pending[index].due);
             if let Some((at, cookie)) = self.sim.take_timer_until(horizon) {
                 self.sim.now = self.sim.now.max(at);
-                self.deliver(Event::Timer { cookie })?;
+                self.deliver(Event::TimerExpired { cookie })?;
             } else if let Some(index) = earliest {
                 let pending = self.pending.swap_remove(index);
                 self.sim.now = self.sim.now.max(pending.due);
@@ -210,7 +210,7 @@
         let is_served = outcome == Outcome::Success;
         let report = if is_served { self.report(&endpoint) } else { LoadReport::default() };
         let time = 0.05 * self.random.f64();
-        self.schedule(time, Event::HealthChecked { endpoint, outcome, report });
+        self.schedule(time, Event::HealthCheckFinished { endpoint, outcome, report });
     }
 
     /// What an endpoint reports about itself now.
@@ -282,7 +282,8 @@
         let mut lines = Vec::new();
         for (now, event, actions) in &self.history {
             let text = format!("{event:?}");
-            if matches!(event, Event::Endpoints { .. } | Event::WatchFailed) || text.contains(&quoted) {
+            if matches!(event, Event::EndpointsUpdated { .. } | Event::WatchFailed) || text.contains(&quoted)
+            {
                 lines.push(format!("{now:.4} {text}"));
             }
             let relevant = |text: &String| text.contains(&quoted) || text.contains("PrimaryChanged");
