--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -16,7 +16,7 @@
 
 fn long_read(started_at: Instant) -> Exchange {
     let text = format!("/* d=5000 */ SELECT '{}'", "x".repeat(STATEMENT_LENGTH)).into_boxed_str();
-    let statement = Statement { text, timeout_position: 5..9, memory: None };
+    let statement = Statement { text, timeout_range: 5..9, memory: None };
     let attempt = AttemptTask { request: "1".into(), number: 0, statement: Rc::new(statement) };
     Exchange::new(Task::Attempt(attempt), started_at, TIMEOUT)
 }
--- a/src/net/backend/reply/tests.rs
+++ b/src/net/backend/reply/tests.rs
@@ -7,7 +7,7 @@
 use crate::net::{AttemptTask, Statement};
 
 fn attempt() -> Task {
-    let statement = Statement { text: "SELECT".into(), timeout_position: 0..0, memory: None };
+    let statement = Statement { text: "SELECT".into(), timeout_range: 0..0, memory: None };
     Task::Attempt(AttemptTask { request: "1".into(), number: 0, statement: Rc::new(statement) })
 }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -25,7 +25,7 @@
     /// The text, with the comment that describes the query.
     pub text: Box<str>,
     /// Where the text holds the client's timeout (milliseconds, in decimal digits).
-    pub timeout_position: Range<usize>,
+    pub timeout_range: Range<usize>,
     /// The memory that the text takes, once it is granted.
     pub memory: Option<MemoryReservation>,
 }
@@ -33,8 +33,8 @@
 impl Statement {
     /// The text with another timeout, which is written in milliseconds without a fraction, at least one.
     pub fn with_timeout(&self, timeout: Duration) -> Vec<u8> {
-        let before = &self.text[..self.timeout_position.start];
-        let after = &self.text[self.timeout_position.end..];
+        let before = &self.text[..self.timeout_range.start];
+        let after = &self.text[self.timeout_range.end..];
         let millis = timeout.as_millis().max(1).to_string();
         [before, &millis, after].concat().into_bytes()
     }
--- a/src/net/pooler/active_requests/tests.rs
+++ b/src/net/pooler/active_requests/tests.rs
@@ -14,7 +14,7 @@
 }
 
 fn statement() -> Statement {
-    Statement { text: "SELECT 1".into(), timeout_position: 0..0, memory: None }
+    Statement { text: "SELECT 1".into(), timeout_range: 0..0, memory: None }
 }
 
 /// A table with one request that `client` waits for.
--- a/src/net/postgres/tests/query.rs
+++ b/src/net/postgres/tests/query.rs
@@ -24,7 +24,7 @@
 }
 
 fn timeout_text(query: &Query) -> &str {
-    &query.statement.text[query.statement.timeout_position.clone()]
+    &query.statement.text[query.statement.timeout_range.clone()]
 }
 
 #[test]
