--- a/src/net/buffer/ring_buffer.rs
+++ b/src/net/buffer/ring_buffer.rs
@@ -102,7 +102,7 @@
             let end = (self.head + self.len).min(self.storage.len());
             match sink.write(&self.storage[self.head..end]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => self.skip(count),
+                Ok(count) => self.consume(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(false),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
@@ -146,12 +146,12 @@
     /// Removes and returns at most `count` of the first bytes.
     pub fn take(&mut self, count: usize) -> Vec<u8> {
         let bytes = self.peek_up_to(count);
-        self.skip(bytes.len());
+        self.consume(bytes.len());
         bytes
     }
 
     /// Removes at most `count` of the first bytes.
-    pub fn skip(&mut self, count: usize) {
+    pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
         self.head = if self.len == 0 { 0 } else { (self.head + count) % self.storage.len() };
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -48,7 +48,7 @@
     two.push(&[2]).unwrap();
     assert!(two.push(&vec![2; INITIAL_SIZE]).is_err(), "past the shared budget");
     assert_eq!(two.read_from(&mut &[3; MAX_BUFFER_SIZE][..]).unwrap(), ReadStatus::Full);
-    one.skip(MAX_BUFFER_SIZE);
+    one.consume(MAX_BUFFER_SIZE);
     assert_eq!(two.read_from(&mut &[3; INITIAL_SIZE][..]).unwrap(), ReadStatus::EndOfStream);
     drop((one, two));
     assert_eq!(budget.available(), MAX_BUFFER_SIZE + INITIAL_SIZE);
@@ -80,9 +80,9 @@
     let mut buffer = RingBuffer::new(&MemoryBudget::new(INITIAL_SIZE));
     buffer.push(b"abc").unwrap();
     buffer.read_from(&mut &b"de"[..]).unwrap();
-    buffer.skip(4);
+    buffer.consume(4);
     assert_eq!((buffer.total_received(), buffer.total_consumed()), (5, 4));
-    buffer.skip(100);
+    buffer.consume(100);
     assert_eq!((buffer.total_received(), buffer.total_consumed()), (5, 5));
     assert!(buffer.is_empty());
 }
@@ -94,7 +94,7 @@
     assert_eq!(buffer.read_from(&mut BlockedSource).unwrap(), ReadStatus::WouldBlock);
     assert_eq!(budget.available(), MAX_BUFFER_SIZE - INITIAL_SIZE);
     buffer.push(&[0; 8 * INITIAL_SIZE]).unwrap();
-    buffer.skip(8 * INITIAL_SIZE);
+    buffer.consume(8 * INITIAL_SIZE);
     assert_eq!(budget.available(), MAX_BUFFER_SIZE);
 }
 
--- a/src/net/discovery/http_response.rs
+++ b/src/net/discovery/http_response.rs
@@ -87,7 +87,7 @@
                     BodyFraming::Chunked => ParserState::ChunkSize,
                     BodyFraming::UntilClosed => ParserState::ChunkData { remaining: u64::MAX },
                 };
-                input.skip(length);
+                input.consume(length);
                 Ok(Step::Framing)
             }
             Ok(httparse::Status::Partial) if head.len() < MAX_HEAD_LENGTH => Ok(Step::Incomplete),
@@ -100,7 +100,7 @@
         match httparse::parse_chunk_size(&line) {
             Ok(httparse::Status::Complete((_, 0))) => Err(WatchError::Ended),
             Ok(httparse::Status::Complete((length, size))) => {
-                input.skip(length);
+                input.consume(length);
                 self.state = ParserState::ChunkData { remaining: size };
                 Ok(Step::Framing)
             }
@@ -125,7 +125,7 @@
         match input.peek() {
             None => Ok(Step::Incomplete),
             Some([b'\r', b'\n']) => {
-                input.skip(2);
+                input.consume(2);
                 self.state = ParserState::ChunkSize;
                 Ok(Step::Framing)
             }
--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -67,7 +67,7 @@
             return Err(ConnectionClosed);
         }
         let may_have_more = status == ReadStatus::Full && !self.buffer.is_empty();
-        self.buffer.skip(self.buffer.len());
+        self.buffer.consume(self.buffer.len());
         Ok(may_have_more)
     }
 
--- a/src/net/postgres/framing.rs
+++ b/src/net/postgres/framing.rs
@@ -85,6 +85,6 @@
     if buffer.len() < HEADER_SIZE + header.body_length {
         return None;
     }
-    buffer.skip(HEADER_SIZE);
+    buffer.consume(HEADER_SIZE);
     Some(buffer.take(header.body_length))
 }
