--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -18,14 +18,14 @@
 }
 
 #[rstest]
-#[case::session(&startup_message("user", "database"), Startup::Session)]
-#[case::minor_version(&packet(&[VERSION_3_0 + 2]), Startup::Session)]
-#[case::ssl(&packet(&[SSL]), Startup::Encryption)]
-#[case::gss(&packet(&[GSS]), Startup::Encryption)]
-#[case::cancel(&packet(&[CANCEL, 7, 9]), Startup::Cancel(CancelKey { process_id: 7, secret: 9 }))]
-#[case::version_2(&packet(&[2 << 16]), Startup::UnsupportedVersion)]
-#[case::version_4(&packet(&[4 << 16]), Startup::UnsupportedVersion)]
-fn startup_packet_is_parsed(#[case] bytes: &[u8], #[case] expected: Startup) {
+#[case::session(&startup_message("user", "database"), StartupRequest::Session)]
+#[case::minor_version(&packet(&[VERSION_3_0 + 2]), StartupRequest::Session)]
+#[case::ssl(&packet(&[SSL]), StartupRequest::Encryption)]
+#[case::gss(&packet(&[GSS]), StartupRequest::Encryption)]
+#[case::cancel(&packet(&[CANCEL, 7, 9]), StartupRequest::Cancel(CancelKey { process_id: 7, secret: 9 }))]
+#[case::version_2(&packet(&[2 << 16]), StartupRequest::UnsupportedVersion)]
+#[case::version_4(&packet(&[4 << 16]), StartupRequest::UnsupportedVersion)]
+fn startup_packet_is_parsed(#[case] bytes: &[u8], #[case] expected: StartupRequest) {
     let mut buffer = buffer_with(bytes);
     assert_eq!(read_startup(&mut buffer), Ok(Some(expected)));
     assert!(buffer.is_empty());
@@ -73,5 +73,5 @@
         b"K\0\0\0\x0c\0\0\0\x07\0\0\0\x09".to_vec(),
         b"Z\0\0\0\x05I".to_vec(),
     ];
-    assert_eq!(session_start(CancelKey { process_id: 7, secret: 9 }), expected.concat());
+    assert_eq!(startup_response(CancelKey { process_id: 7, secret: 9 }), expected.concat());
 }
