--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,30 +1,32 @@
 //! Freshness: whether the data of an endpoint is recent enough for a read.
 //!
 //! A read requires a log position, which is a time on the endpoints' clock. An endpoint is
-//! [`Freshness::Fresh`] if it is known to have reached that, [`Freshness::PossiblyFresh`] if it may have
-//! reached it and would reject the read otherwise, and [`Freshness::Stale`] if neither holds.
+//! [`Freshness::Fresh`] if it is known to have reached this position, [`Freshness::PossiblyFresh`] if it may
+//! have reached it and would otherwise reject the read, and [`Freshness::Stale`] in all other cases.
 
 use crate::policy::cluster::Cluster;
 use crate::policy::endpoint::EndpointState;
 use crate::settings::{Consistency, Settings};
 use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
 
-/// Age at which a local replica's log position is refreshed, as a share of the shortest staleness bound.
+/// Age at which the log position of a local replica is refreshed, as a share of the shortest staleness bound.
 const REFRESH_AGE_SHARE: f64 = 0.7;
 
-/// The log position that a read requires, in ascending order.
+/// The log position that a read requires. The variants are ordered from the weakest requirement to the
+/// strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RequiredPosition {
-    /// Any position will do.
+    /// Any position is sufficient.
     Any,
-    /// This one or a later one.
+    /// This position or a later one.
     AtLeast(LogPosition),
-    /// It is not known which position would do: only the primary is certain to have reached it.
+    /// The required position is not known. Only the primary is certain to have reached it.
     Unknown,
 }
 
 impl RequiredPosition {
-    /// The position that a read of this consistency requires; `session_token` is that of its session.
+    /// Returns the position that a read of this consistency requires. `session_token` is the position that
+    /// its session requires.
     pub(crate) fn for_consistency(
         consistency: Consistency,
         session_token: RequiredPosition,
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Whether an endpoint has reached it that is known to be at this position.
+    /// Whether an endpoint whose known position is `position` meets the requirement.
     pub(crate) fn is_reached_at(self, position: Option<LogPosition>) -> bool {
         match self {
             RequiredPosition::Any => true,
@@ -61,8 +63,9 @@
     }
 }
 
-/// The position that sees every commit until an instant. Where endpoints serve stale reads, it must not be
-/// too early; where they check reads themselves, a wrong guess costs no more than an attempt.
+/// Returns the position that includes every commit up to `instant`. If endpoints serve stale reads, it must
+/// not be too early, so the latest possible time is used. If they reject stale reads, the estimated time is
+/// sufficient, since a wrong estimate costs no more than one attempt.
 pub(crate) fn position_at(cluster: &Cluster, instant: LocalInstant) -> RequiredPosition {
     if cluster.settings().stale_reads.rejects_stale_reads() {
         return RequiredPosition::AtLeast(cluster.clock().estimate(instant));
@@ -73,15 +76,15 @@
 /// Whether an endpoint is recent enough for a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// It is known to be.
+    /// The endpoint is known to be recent enough.
     Fresh,
-    /// It may be; if it is not, it rejects the read without executing it.
+    /// The endpoint may be recent enough; if it is not, it rejects the read without executing it.
     PossiblyFresh,
-    /// It is known to be behind; or it may be behind, and would answer from stale data then.
+    /// The endpoint is assumed to lag behind, or may lag behind and would then serve stale data.
     Stale,
 }
 
-/// Whether an endpoint has reached the required position.
+/// Returns whether an endpoint has reached the required position.
 pub(crate) fn freshness(
     endpoint: &EndpointState,
     required: RequiredPosition,
@@ -90,8 +93,8 @@
     if required.is_reached_at(endpoint.replication().log_position()) {
         return Freshness::Fresh;
     }
-    let is_checked = cluster.settings().stale_reads.rejects_stale_reads();
-    if is_checked
+    let rejects_stale_reads = cluster.settings().stale_reads.rejects_stale_reads();
+    if rejects_stale_reads
         && !endpoint.replication().is_marked_stale(cluster.now())
         && may_have_reached(endpoint, required, cluster)
     {
@@ -101,40 +104,41 @@
     }
 }
 
-/// An endpoint may have reached a position if its lag is the same as at its report, if it has had as much
-/// time to catch up as its lag was, or if its position is unknown.
+/// Whether an endpoint may have reached a position: its position is unknown, its lag at the last report would
+/// still allow it, or more time than this lag has passed since the report, so that it may have caught up.
 fn may_have_reached(endpoint: &EndpointState, required: RequiredPosition, cluster: &Cluster) -> bool {
     let (Some(lag), Some(reported_at)) =
         (endpoint.replication().lag(cluster.clock()), endpoint.replication().reported_at())
     else {
         return true;
     };
-    let has_caught_up = cluster.now() - reported_at > lag;
-    required.is_reached_at(Some(cluster.estimated_now() - lag)) || has_caught_up
+    let may_have_caught_up = cluster.now() - reported_at > lag;
+    required.is_reached_at(Some(cluster.estimated_now() - lag)) || may_have_caught_up
 }
 
-/// Whether an endpoint may be so far behind that no bounded read may go there: by its last report, or since
-/// it has reported no position.
+/// Whether an endpoint may lag too far behind for any bounded read, according to its reported position, or
+/// has not reported any position.
 pub(crate) fn may_be_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let required = cluster.estimated_now() - cluster.shortest_staleness_bound();
     endpoint.replication().log_position().is_none_or(|position| position < required)
 }
 
-/// Until when an endpoint that has just rejected a read is taken to be behind: it needs at least as long as
-/// its lag to catch up. No longer lag is assumed than an endpoint takes to warm up.
+/// Returns until when an endpoint that has just rejected a read is assumed to lag behind: it needs at least
+/// as long as its lag to catch up. The lag is assumed to be no longer than the slow start of an endpoint.
 pub(crate) fn stale_until(
     endpoint: &EndpointState,
     settings: &Settings,
     now: LocalInstant,
     cluster_now: ClusterInstant,
 ) -> LocalInstant {
-    let longest = settings.slow_start_window;
-    let lag = endpoint.replication().log_position().map_or(longest, |position| cluster_now - position);
-    now + lag.clamp(Span::ZERO, longest).max(settings.connect_timeout)
+    let max_lag = settings.slow_start_window;
+    let lag = endpoint.replication().log_position().map_or(max_lag, |position| cluster_now - position);
+    now + lag.clamp(Span::ZERO, max_lag).max(settings.connect_timeout)
 }
 
-/// Whether a health check should find out a log position: it is about to be too old for reads, or it is
-/// unknown and endpoints serve stale reads, so that no read may be sent to find it out.
+/// Whether the log position of an endpoint should be refreshed by a health check: the endpoint is in the
+/// pooler's own zone and its position will soon be too old for reads, or the position is unknown and
+/// endpoints serve stale reads, so that no read may be sent to learn it.
 pub(crate) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness_bound() * REFRESH_AGE_SHARE;
     let is_local = endpoint.listing().zone() == cluster.settings().zone;
