--- a/src/policy/cluster/clock/tests.rs
+++ b/src/policy/cluster/clock/tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 use crate::time::tests::{at, cluster, secs};
 
-/// Seconds that an answer takes.
+/// Round-trip time of a request, in seconds.
 const ROUND_TRIP: f64 = 0.02;
-/// How much wider the bounds may be for the rounding of positions and the drift of a few seconds.
+/// Tolerance for the rounding of positions and for the drift in a few seconds, in seconds.
 const ROUNDING_AND_DRIFT: f64 = 0.003;
 
-/// A primary whose clock is ahead by `offset` answers a request that was sent at `sent_at`.
-fn primary_answers(clock: &mut ClusterClock, offset: f64, sent_at: f64) {
+/// Records the response of a primary, whose clock is ahead by `offset`, to a request sent at `sent_at`.
+fn observe_primary_response(clock: &mut ClusterClock, offset: f64, sent_at: f64) {
     clock.observe_present_time(
         cluster(sent_at + ROUND_TRIP / 2.0 + offset),
         at(sent_at),
@@ -18,17 +18,17 @@
 }
 
 fn earliest(clock: &ClusterClock, now: f64) -> ClusterInstant {
-    clock.earliest(at(now)).expect("there is evidence")
+    clock.earliest(at(now)).expect("the offset is bounded")
 }
 
 fn latest(clock: &ClusterClock, now: f64) -> ClusterInstant {
-    clock.latest(at(now)).expect("there is evidence")
+    clock.latest(at(now)).expect("the offset is bounded")
 }
 
 #[test]
 fn a_shared_clock_tells_the_same_time_whatever_is_observed() {
     let mut clock = ClusterClock::new(true);
-    primary_answers(&mut clock, 5.0, 100.0);
+    observe_primary_response(&mut clock, 5.0, 100.0);
     clock.observe_past_time(cluster(200.0), at(100.0));
     let expected = (Some(cluster(101.0)), cluster(101.0), Some(cluster(101.0)));
     assert_eq!((clock.earliest(at(101.0)), clock.estimate(at(101.0)), clock.latest(at(101.0))), expected);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn before_any_answer_the_present_is_the_poolers_without_bounds() {
+fn before_any_answer_the_estimate_is_the_poolers_time_without_bounds() {
     let clock = ClusterClock::new(false);
     let expected = (None, cluster(100.0), None);
     assert_eq!((clock.earliest(at(100.0)), clock.estimate(at(100.0)), clock.latest(at(100.0))), expected);
@@ -49,7 +49,7 @@
 fn answers_of_primaries_bound_the_offset(#[values(-3600.0, -5.0, -0.5, 0.0, 0.5, 5.0, 3600.0)] offset: f64) {
     let mut clock = ClusterClock::new(false);
     for sent_at in [100.0, 101.0] {
-        primary_answers(&mut clock, offset, sent_at);
+        observe_primary_response(&mut clock, offset, sent_at);
     }
     let present = 102.0 + offset;
     assert!(earliest(&clock, 102.0) <= cluster(present) && cluster(present) <= latest(&clock, 102.0));
@@ -61,22 +61,25 @@
     );
 }
 
-/// A position that cannot be right must not be taken for the present.
+/// A single position that contradicts the known bounds must not be taken for the present time.
 #[test]
 fn a_contradiction_counts_once_a_second_answer_agrees() {
     let mut clock = ClusterClock::new(false);
-    primary_answers(&mut clock, 0.0, 100.0);
-    primary_answers(&mut clock, 1e9, 101.0);
+    observe_primary_response(&mut clock, 0.0, 100.0);
+    observe_primary_response(&mut clock, 1e9, 101.0);
     assert!((clock.estimate(at(101.0)) - cluster(101.0)).abs() < secs(0.1));
-    primary_answers(&mut clock, -50.0, 102.0);
-    assert!((clock.estimate(at(102.0)) - cluster(102.0)).abs() < secs(0.1), "the two contradict each other");
-    primary_answers(&mut clock, 0.0, 103.0);
-    primary_answers(&mut clock, -50.0, 104.0);
+    observe_primary_response(&mut clock, -50.0, 102.0);
+    assert!(
+        (clock.estimate(at(102.0)) - cluster(102.0)).abs() < secs(0.1),
+        "the two answers contradict each other"
+    );
+    observe_primary_response(&mut clock, 0.0, 103.0);
+    observe_primary_response(&mut clock, -50.0, 104.0);
     assert!(
         (clock.estimate(at(104.0)) - cluster(104.0)).abs() < secs(0.1),
         "an answer in between confirmed the bounds"
     );
-    primary_answers(&mut clock, -50.0, 105.0);
+    observe_primary_response(&mut clock, -50.0, 105.0);
     assert!((clock.estimate(at(105.0)) - cluster(55.0)).abs() < secs(0.1), "the clock was stepped");
 }
 
@@ -89,13 +92,13 @@
     assert!((cluster(99.9)..=cluster(100.0)).contains(&at_least), "{at_least:?}");
     assert_eq!((clock.estimate(at(101.0)), clock.latest(at(101.0))), (cluster(101.0), None));
     clock.observe_past_time(cluster(1e9), at(102.0));
-    assert!(earliest(&clock, 102.0) <= cluster(102.0), "a time in the future is not believed of a replica");
+    assert!(earliest(&clock, 102.0) <= cluster(102.0), "a time in the future is not accepted from a replica");
 }
 
 #[test]
 fn the_bounds_widen_with_time() {
     let mut clock = ClusterClock::new(false);
-    primary_answers(&mut clock, 0.0, 100.0);
+    observe_primary_response(&mut clock, 0.0, 100.0);
     let width = |now: f64| latest(&clock, now) - earliest(&clock, now);
     assert!(width(100_000.0) > width(200.0) && width(200.0) > width(101.0));
 }
--- a/src/policy/cluster/group.rs
+++ b/src/policy/cluster/group.rs
@@ -1,4 +1,4 @@
-//! A replication group: its endpoints, its primary, and the requests that wait for that.
+//! A replication group: its endpoints, its primary, and the requests that wait for a primary.
 
 use std::collections::VecDeque;
 
@@ -12,19 +12,18 @@
 pub(crate) struct Group {
     members: Vec<EndpointKey>,
     primary: Option<EndpointKey>,
-    /// Requests that wait for the primary, in the order of their arrival.
+    /// Requests that wait for the primary, in order of arrival.
     queue: VecDeque<RequestKey>,
     search: PrimarySearch,
     last_request_at: LocalInstant,
 }
 
 impl Group {
-    /// Its endpoints.
+    /// Returns the endpoints of the group, the primary included.
     pub(crate) fn members(&self) -> &[EndpointKey] {
         &self.members
     }
 
-    /// Adds an endpoint.
     pub(crate) fn add_member(&mut self, endpoint: EndpointKey) {
         self.members.push(endpoint);
     }
@@ -34,12 +33,13 @@
         self.members.retain(matches);
     }
 
-    /// Its primary, if one is known.
+    /// Returns the primary, if it is known.
     pub(crate) fn primary(&self) -> Option<EndpointKey> {
         self.primary
     }
 
-    /// Takes an endpoint as the primary; unless that is ready, the search for one goes on or begins now.
+    /// Sets the primary. Stops the search for a primary if this one is ready, and starts or continues it
+    /// otherwise.
     pub(crate) fn set_primary(&mut self, primary: Option<EndpointKey>, is_ready: bool, now: LocalInstant) {
         self.primary = primary;
         if is_ready {
@@ -49,27 +49,24 @@
         }
     }
 
-    /// The search for its primary.
     pub(crate) fn search(&self) -> &PrimarySearch {
         &self.search
     }
 
-    /// The search for its primary, to be continued.
     pub(crate) fn search_mut(&mut self) -> &mut PrimarySearch {
         &mut self.search
     }
 
-    /// Notes that a request for it was received.
+    /// Records that a request for the group was received.
     pub(crate) fn request_received(&mut self, now: LocalInstant) {
         self.last_request_at = now;
     }
 
-    /// When the last request for it was received.
     pub(crate) fn last_request_at(&self) -> LocalInstant {
         self.last_request_at
     }
 
-    /// The requests that wait for the primary.
+    /// Returns the requests that wait for the primary, in order of arrival.
     pub(crate) fn queue(&self) -> &VecDeque<RequestKey> {
         &self.queue
     }
@@ -79,25 +76,25 @@
         self.queue.push_back(request);
     }
 
-    /// Takes all requests out of the queue.
+    /// Removes and returns all requests in the queue.
     pub(crate) fn take_queue(&mut self) -> VecDeque<RequestKey> {
         std::mem::take(&mut self.queue)
     }
 
-    /// Puts requests back that were taken from the queue, before those that have joined it since.
+    /// Puts requests back that were taken from the queue, in front of those that were queued since.
     pub(crate) fn requeue(&mut self, requests: Vec<RequestKey>) {
         for request in requests.into_iter().rev() {
             self.queue.push_front(request);
         }
     }
 
-    /// Takes a write out of the queue that is sent in search of a primary.
+    /// Removes a write from the queue that is sent in order to find the primary.
     pub(crate) fn start_discovery(&mut self, write: RequestKey) {
         self.queue.retain(|queued| *queued != write);
         self.search.start_discovery(write);
     }
 
-    /// Whether nothing belongs to it any more.
+    /// Whether the group has neither endpoints nor queued requests.
     pub(crate) fn is_empty(&self) -> bool {
         self.members.is_empty() && self.queue.is_empty()
     }
