--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the endpoint list as last notified, and the groups that they form.
+//! The endpoints of the endpoint list, and the groups that they form.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
@@ -8,10 +8,10 @@
 use crate::policy::endpoint::{EndpointState, Restart};
 use crate::time::LocalInstant;
 
-/// The place of an endpoint in the [`EndpointTable`]. Places of forgotten endpoints are used again.
+/// Index of an endpoint in the [`EndpointTable`]. The keys of purged endpoints are reused.
 pub(crate) type EndpointKey = usize;
 
-/// The endpoints that an update of the endpoint list has started.
+/// The endpoints that have started according to an update of the endpoint list.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct StartedEndpoints {
     /// Endpoints that were not known before.
@@ -25,54 +25,51 @@
 pub(crate) struct EndpointTable {
     groups: BTreeMap<u32, Group>,
     slots: Vec<EndpointState>,
-    free: Vec<EndpointKey>,
+    free_slots: Vec<EndpointKey>,
     by_id: HashMap<EndpointId, EndpointKey>,
 }
 
 impl EndpointTable {
-    /// How many slots there are, those of forgotten endpoints included: every key is below this.
+    /// Returns the number of slots, including those of purged endpoints. Every key is below it.
     pub(crate) fn slot_count(&self) -> usize {
         self.slots.len()
     }
 
-    /// The key of a known endpoint.
+    /// Returns the key of an endpoint, if it is known.
     pub(crate) fn key(&self, id: &EndpointId) -> Option<EndpointKey> {
         self.by_id.get(id).copied()
     }
 
-    /// The numbers of all groups, in ascending order.
+    /// Returns the numbers of all groups in ascending order.
     pub(crate) fn group_ids(&self) -> Vec<u32> {
         self.groups.keys().copied().collect()
     }
 
-    /// How many groups there are.
     pub(crate) fn group_count(&self) -> usize {
         self.groups.len()
     }
 
-    /// A group, if one of this number is known.
     pub(crate) fn group(&self, group: u32) -> Option<&Group> {
         self.groups.get(&group)
     }
 
-    /// A group, to be changed.
     pub(crate) fn group_mut(&mut self, group: u32) -> Option<&mut Group> {
         self.groups.get_mut(&group)
     }
 
-    /// The primary of a group, if one is known.
+    /// Returns the primary of a group, if it is known.
     pub(crate) fn primary(&self, group: u32) -> Option<EndpointKey> {
         self.group(group)?.primary()
     }
 
-    /// Forgets groups without endpoints and requests: lists may name new ones again and again.
+    /// Removes groups without endpoints and queued requests, since lists may keep naming new groups.
     pub(crate) fn remove_empty_groups(&mut self) {
         self.groups.retain(|_, group| !group.is_empty());
     }
 
-    /// Applies an update of the endpoint list. What a complete list does not name is removed. Returns the
-    /// endpoints that were added or have restarted.
-    pub(crate) fn apply(
+    /// Applies an update of the endpoint list. Endpoints that a complete list does not contain are marked as
+    /// removed. Returns the endpoints that were added or have restarted.
+    pub(crate) fn apply_update(
         &mut self,
         kind: UpdateKind,
         entries: &[Endpoint],
@@ -91,10 +88,10 @@
                 *listed = true;
             }
             self.move_to_group(endpoint, entry.group);
-            let restart = self.slots[endpoint].apply(kind, entry, now);
+            let restart = self.slots[endpoint].apply_list_entry(kind, entry, now);
             if known.is_none() {
                 started.added.push(endpoint);
-            } else if restart == Restart::Restarted {
+            } else if restart == Restart::Detected {
                 started.restarted.push(endpoint);
             }
         }
@@ -110,7 +107,7 @@
     }
 
     fn insert(&mut self, entry: &Endpoint) -> EndpointKey {
-        let key = self.free.pop().unwrap_or(self.slots.len());
+        let key = self.free_slots.pop().unwrap_or(self.slots.len());
         let state = EndpointState::new(entry.id.clone(), entry.zone, entry.group);
         self.by_id.insert(entry.id.clone(), key);
         if key == self.slots.len() {
@@ -130,17 +127,18 @@
         }
     }
 
-    /// Forgets those endpoints of a group that were removed, and neither listed nor used since this time.
+    /// Purges those endpoints of a group that were removed from the list, and last listed and used before
+    /// `horizon`.
     pub(crate) fn purge_removed(&mut self, group: u32, horizon: LocalInstant) {
         let Some(group) = self.groups.get_mut(&group) else { return };
-        let (slots, free, by_id) = (&self.slots, &mut self.free, &mut self.by_id);
+        let (slots, free_slots, by_id) = (&self.slots, &mut self.free_slots, &mut self.by_id);
         group.retain_members(|&endpoint| {
-            let is_forgotten = slots[endpoint].is_removed_since(horizon);
-            if is_forgotten {
+            let is_purged = slots[endpoint].is_removed_since(horizon);
+            if is_purged {
                 by_id.remove(slots[endpoint].id());
-                free.push(endpoint);
+                free_slots.push(endpoint);
             }
-            !is_forgotten
+            !is_purged
         });
     }
 }
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! What a pooler knows of the cluster that it serves: the settings, the present time and the endpoints.
+//! The pooler's view of the cluster that it serves: settings, current time, and endpoints with their clock.
 
 mod clock;
 mod endpoint_table;
@@ -12,10 +12,10 @@
 pub(crate) use endpoint_table::{EndpointKey, EndpointTable, StartedEndpoints};
 pub(crate) use group::Group;
 
-/// Upper limit of [`Cluster::shortest_staleness_bound`], for settings without a bounded class.
-const MAX_SHORTEST_STALENESS: Span = Span::from_secs(1.0);
+/// Upper limit of [`Cluster::shortest_staleness_bound`], which applies if no class has a staleness bound.
+const MAX_SHORTEST_STALENESS_BOUND: Span = Span::from_secs(1.0);
 
-/// The cluster as it is known at present.
+/// The state of the cluster, as far as the pooler knows it.
 pub(crate) struct Cluster {
     settings: Settings,
     now: LocalInstant,
@@ -25,11 +25,11 @@
 }
 
 impl Cluster {
-    /// A cluster of which nothing is known yet.
+    /// Creates a cluster without any endpoints.
     pub(crate) fn new(settings: Settings) -> Cluster {
         let staleness_bounds = settings.classes.iter().filter_map(RequestClass::staleness_bound);
         Cluster {
-            shortest_staleness_bound: staleness_bounds.fold(MAX_SHORTEST_STALENESS, Span::min),
+            shortest_staleness_bound: staleness_bounds.fold(MAX_SHORTEST_STALENESS_BOUND, Span::min),
             clock: ClusterClock::new(settings.shares_endpoint_clock),
             settings,
             now: LocalInstant::EPOCH,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Moves the present on; it never goes back.
+    /// Advances the current time, which never goes back.
     pub(crate) fn advance_to(&mut self, now: LocalInstant) {
         self.now = self.now.max(now);
     }
@@ -47,11 +47,11 @@
         for started_at in entries.iter().filter_map(|entry| entry.started_at) {
             self.clock.observe_past_time(started_at, self.now);
         }
-        self.endpoints.apply(kind, entries, self.now)
+        self.endpoints.apply_update(kind, entries, self.now)
     }
 
-    /// Takes in what an answer shows of its endpoint and of the endpoints' clock. `sent_at` is when the
-    /// attempt was sent, if it is known.
+    /// Updates an endpoint and the endpoints' clock from a response. `sent_at` is when the attempt was sent,
+    /// if this is known.
     pub(crate) fn observe_response(
         &mut self,
         endpoint: EndpointKey,
@@ -64,74 +64,69 @@
                 None => self.clock.observe_past_time(position, self.now),
             }
         }
-        let answer = LoadReport { log_position: result.log_position, role: result.role };
-        self.endpoints[endpoint].observe(&answer, ReportAge::Current, &self.clock, self.now);
+        let report = LoadReport { log_position: result.log_position, role: result.role };
+        self.endpoints[endpoint].observe_report(&report, ReportAge::Current, &self.clock, self.now);
     }
 
-    /// Takes in what an endpoint has reported about itself some time ago.
+    /// Updates an endpoint and the endpoints' clock from a load report of unknown age.
     pub(crate) fn observe_report(&mut self, endpoint: EndpointKey, report: &LoadReport) {
         if let Some(position) = report.log_position {
             self.clock.observe_past_time(position, self.now);
         }
-        self.endpoints[endpoint].observe(report, ReportAge::Unknown, &self.clock, self.now);
+        self.endpoints[endpoint].observe_report(report, ReportAge::Unknown, &self.clock, self.now);
     }
 
-    /// The settings.
     pub(crate) fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The settings of a request class.
+    /// Returns the settings of a request class, by its number.
     pub(crate) fn class(&self, class: usize) -> &RequestClass {
         &self.settings.classes[class]
     }
 
-    /// The shortest staleness bound of any class.
+    /// Returns the shortest staleness bound of any class.
     pub(crate) fn shortest_staleness_bound(&self) -> Span {
         self.shortest_staleness_bound
     }
 
-    /// The present on the pooler's clock.
+    /// Returns the current time on the pooler's clock.
     pub(crate) fn now(&self) -> LocalInstant {
         self.now
     }
 
-    /// The clock of the endpoints.
+    /// Returns the endpoints' clock.
     pub(crate) fn clock(&self) -> &ClusterClock {
         &self.clock
     }
 
-    /// The present as it probably is on the clock of the endpoints.
+    /// Returns the estimated current time on the endpoints' clock.
     pub(crate) fn estimated_now(&self) -> ClusterInstant {
         self.clock.estimate(self.now)
     }
 
-    /// All endpoints and groups.
     pub(crate) fn endpoints(&self) -> &EndpointTable {
         &self.endpoints
     }
 
-    /// All endpoints and groups, to be changed.
     pub(crate) fn endpoints_mut(&mut self) -> &mut EndpointTable {
         &mut self.endpoints
     }
 
-    /// One endpoint.
     pub(crate) fn endpoint(&self, key: EndpointKey) -> &EndpointState {
         &self.endpoints[key]
     }
 
-    /// One endpoint, to be changed.
     pub(crate) fn endpoint_mut(&mut self, key: EndpointKey) -> &mut EndpointState {
         &mut self.endpoints[key]
     }
 
-    /// A group, if one of this number is known.
     pub(crate) fn group(&self, group: u32) -> Option<&Group> {
         self.endpoints.group(group)
     }
 
-    /// Requests that this pooler has in flight at an endpoint, abandoned ones included.
+    /// Returns the number of attempts that this pooler has in flight at an endpoint, including abandoned
+    /// ones that may still be executing.
     pub(crate) fn load(&self, endpoint: EndpointKey) -> u32 {
         self.endpoints[endpoint].load().total(self.now)
     }
@@ -141,7 +136,7 @@
         !self.endpoints[endpoint].health().is_ejected()
     }
 
-    /// Whether an endpoint is ejected and may have the one request that tries it.
+    /// Whether an endpoint is ejected and a trial request may be sent to it.
     pub(crate) fn is_trial_due(&self, endpoint: EndpointKey) -> bool {
         self.endpoints[endpoint].health().is_trial_due(self.now)
     }
@@ -151,7 +146,7 @@
         self.endpoints[endpoint].listing().zone() == self.settings.zone
     }
 
-    /// Whether an endpoint is known as the primary of its group.
+    /// Whether an endpoint is the known primary of its group.
     pub(crate) fn is_primary(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.primary(self.endpoints[endpoint].listing().group()) == Some(endpoint)
     }
@@ -168,7 +163,7 @@
         }
     }
 
-    /// The endpoints of a group to which new requests may be sent.
+    /// Returns the endpoints of a group to which new requests may be sent.
     pub(crate) fn usable_endpoints<'a>(&'a self, group: &'a Group) -> impl Iterator<Item = EndpointKey> + 'a {
         group.members().iter().copied().filter(|endpoint| self.accepts_requests(*endpoint))
     }
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -1,30 +1,31 @@
-//! Evidence: what the end of an attempt, a failed health check or silence shows of an endpoint.
+//! What the outcome of an attempt, a failed health check or a missing response shows of an endpoint.
 //!
-//! Latencies are those of the class of the request; an attempt is late beyond the mean and two deviations.
-//! An endpoint is ejected at a score of 2.0, which decays (see
-//! [`outlier_detection`](super::outlier_detection)). The weights are 2.0 ([`EJECTION_SCORE`]), 1.1
-//! ([`CONNECTION_LOST`]), 1.0 ([`FAILURE`]) and 0.5 ([`CONNECTION_RESET`]).
+//! Latencies are compared with those of the class of the request: an attempt is late if it takes longer than
+//! the mean plus two deviations. An endpoint is ejected when its failure score reaches 2.0; the score decays
+//! over time (see [`outlier_detection`](super::outlier_detection)). The weights are 2.0 ([`EJECTION_SCORE`]),
+//! 1.1 ([`CONNECTION_FAILURE_WEIGHT`]), 1.0 ([`FAILURE_WEIGHT`]) and 0.5 ([`CONNECTION_RESET_WEIGHT`]).
 //!
 //! | Outcome | Failure weight | Counts as load for | Latency sample | Freshness |
 //! |---|---|---|---|---|
 //! | `Success` | halves the score; ends an ejection | | yes | |
-//! | `Ineligible` | | | | behind for as long as its lag |
+//! | `Ineligible` | | | | stale for at least its lag |
 //! | `Overloaded` | | mean latency | | |
-//! | `Error` | [`FAILURE`] | | | |
-//! | `ConnectFailed`, refused | [`EJECTION_SCORE`]; [`CONNECTION_LOST`] if it has just answered | | | |
-//! | `ConnectFailed`, timed out | [`CONNECTION_LOST`], unless its silence has been counted | | | |
-//! | `ConnectionReset` | [`CONNECTION_RESET`] | | | |
-//! | `Timeout`, late and not cancelled | [`FAILURE`] if the endpoint is silent | mean + deviation | yes | |
+//! | `Error` | [`FAILURE_WEIGHT`] | | | |
+//! | `ConnectFailed`, refused | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] if it just answered | | | |
+//! | `ConnectFailed`, timed out | [`CONNECTION_FAILURE_WEIGHT`], unless the silence was counted | | | |
+//! | `ConnectionReset` | [`CONNECTION_RESET_WEIGHT`] | | | |
+//! | `Timeout`, late and not cancelled | [`FAILURE_WEIGHT`] if silent | mean + deviation | yes | |
 //! | any other `Timeout`; `Cancelled` | | mean + deviation | | |
 //! | `NotSent`, `InvalidRequest` | | | | |
-//! | silent endpoint | [`EJECTION_SCORE`]; [`CONNECTION_LOST`] for a primary's first late attempt | | | |
-//! | failed health check, not for lack of capacity | [`FAILURE`] | | | |
+//! | silence | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] for a primary's first late attempt | | | |
+//! | failed health check, not for lack of capacity | [`FAILURE_WEIGHT`] | | | |
 //!
-//! Besides, each response ends the silence of the endpoint, and carries its role and its log position; a
-//! refused connection may mean that the endpoint has no connections left, see
+//! An endpoint is silent as long as it has not responded to any attempt since the one in question was sent.
+//! Each response also carries the role and the log position of the endpoint. A refused connection may mean
+//! that the endpoint has no connections left, see
 //! [`ConnectionShortage`](crate::policy::connection_shortage::ConnectionShortage).
 //!
-//! [`EndpointState::apply_evidence`] takes the evidence in. A restart resets the health of the endpoint, see
+//! [`EndpointState::apply_evidence`] applies the evidence. A restart resets the health of the endpoint, see
 //! [`OutlierDetector::reset`](super::outlier_detection::OutlierDetector::reset).
 
 use crate::interface::{AttemptResult, Outcome};
@@ -36,90 +37,79 @@
 use crate::settings::Settings;
 use crate::time::{ClusterInstant, LocalInstant, Span};
 
-/// Weight of a plain failure.
-pub(crate) const FAILURE: f64 = 1.0;
-/// Weight of a failure that may be due to a single connection: a second one soon after ejects.
-const CONNECTION_LOST: f64 = 0.55 * EJECTION_SCORE;
-/// Weight of a connection that broke under a request. Small: if the process has died, the next connections
-/// are refused at once.
-const CONNECTION_RESET: f64 = 0.25 * EJECTION_SCORE;
+/// Weight of an ordinary failure.
+pub(crate) const FAILURE_WEIGHT: f64 = 1.0;
+/// Weight of a failure that may concern only a single connection. A second one shortly afterwards ejects the
+/// endpoint.
+const CONNECTION_FAILURE_WEIGHT: f64 = 0.55 * EJECTION_SCORE;
+/// Weight of a connection that was reset during a request. It is small, because if the process has died, the
+/// next connections are refused immediately.
+const CONNECTION_RESET_WEIGHT: f64 = 0.25 * EJECTION_SCORE;
 /// A connection that fails within this share of the connect timeout was refused.
-const REFUSED_WITHIN: f64 = 0.5;
-/// An attempt is late at this many deviations above the mean latency: a shorter timeout shows nothing.
+const REFUSAL_TIME_SHARE: f64 = 0.5;
+/// An attempt is late at this many deviations above the mean latency. A shorter timeout is no evidence.
 pub(crate) const LATE_DEVIATIONS: f64 = 2.0;
-/// A primary cannot be replaced: it is ejected for silence only once so many attempts are late, since a
-/// single connection may have failed.
+/// Number of late attempts at which a silent primary is ejected. A primary cannot be replaced, and with a
+/// single late attempt only one connection may have failed.
 const LATE_ATTEMPTS_TO_EJECT_PRIMARY: u32 = 2;
 
 /// What an outcome shows of the health of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HealthEvidence {
-    /// Nothing.
-    Unknown,
-    /// It served an attempt that was sent at this time.
+    /// The outcome allows no conclusion about the health of the endpoint.
+    Inconclusive,
+    /// The endpoint served an attempt.
     Served {
         /// When the attempt was sent.
         sent_at: LocalInstant,
     },
-    /// It failed.
-    Failed {
-        /// The weight of the failure.
-        weight: f64,
-    },
-    /// No connection to it could be established.
+    /// The endpoint failed.
+    Failed { weight: f64 },
+    /// No connection to the endpoint could be established.
     ConnectFailed {
-        /// The weight of the failure, unless it has been counted.
+        /// The weight of the failure; `None` if the failure has already been counted.
         weight: Option<f64>,
     },
 }
 
-/// The latency of an attempt beside the mean of its class.
+/// The latency of an attempt and the mean latency of its class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LatencySample {
-    /// The latency of the attempt.
     pub(crate) latency: Span,
-    /// The mean latency of its class.
     pub(crate) class_mean: Span,
 }
 
-/// Everything that the end of an attempt shows of its endpoint.
+/// Everything that the outcome of an attempt shows of its endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Evidence {
-    /// What it shows of its health.
     pub(crate) health: HealthEvidence,
-    /// Until when the attempt counts as load: it may still be executed, and rejecting requests must not
-    /// make an endpoint look idle.
+    /// Until when the attempt counts as load although it has ended: the endpoint may still be executing it,
+    /// and an endpoint that rejects requests must not appear idle.
     pub(crate) counts_as_load_until: Option<LocalInstant>,
-    /// What it shows of its latency.
     pub(crate) latency: Option<LatencySample>,
-    /// Until when it is taken to be behind.
+    /// Until when the endpoint is assumed to lag behind.
     pub(crate) stale_until: Option<LocalInstant>,
 }
 
 /// The circumstances in which an attempt ended.
 #[derive(Clone, Copy)]
 pub(crate) struct Observation<'a> {
-    /// The attempt, as it was while in flight.
+    /// The attempt, in its state before it ended.
     pub(crate) attempt: &'a Attempt,
-    /// How it ended.
     pub(crate) result: &'a AttemptResult,
-    /// Its endpoint.
     pub(crate) endpoint: &'a EndpointState,
-    /// The latency of its class.
     pub(crate) class_latency: &'a LatencyEstimator,
-    /// The settings.
     pub(crate) settings: &'a Settings,
-    /// The present on the pooler's clock.
     pub(crate) now: LocalInstant,
-    /// The present as it probably is on the clock of the endpoints.
+    /// The estimated present time on the endpoints' clock.
     pub(crate) cluster_now: ClusterInstant,
 }
 
 impl Observation<'_> {
-    /// What the end of the attempt shows: the table of this module.
+    /// Returns what the outcome shows, according to the table of this module.
     pub(crate) fn evidence(&self) -> Evidence {
-        let nothing = Evidence {
-            health: HealthEvidence::Unknown,
+        let no_evidence = Evidence {
+            health: HealthEvidence::Inconclusive,
             counts_as_load_until: None,
             latency: None,
             stale_until: None,
@@ -128,31 +118,36 @@
             Outcome::Success => Evidence {
                 health: HealthEvidence::Served { sent_at: self.attempt.sent_at() },
                 latency: Some(self.latency_sample()),
-                ..nothing
+                ..no_evidence
             },
-            Outcome::Ineligible => Evidence { stale_until: Some(self.stale_until()), ..nothing },
+            Outcome::Ineligible => Evidence { stale_until: Some(self.stale_until()), ..no_evidence },
             Outcome::Overloaded => {
                 let until = self.now + self.class_latency.mean();
-                Evidence { counts_as_load_until: Some(until), ..nothing }
+                Evidence { counts_as_load_until: Some(until), ..no_evidence }
+            }
+            Outcome::Error => {
+                Evidence { health: HealthEvidence::Failed { weight: FAILURE_WEIGHT }, ..no_evidence }
             }
-            Outcome::Error => Evidence { health: HealthEvidence::Failed { weight: FAILURE }, ..nothing },
             Outcome::ConnectionReset => {
-                Evidence { health: HealthEvidence::Failed { weight: CONNECTION_RESET }, ..nothing }
+                Evidence { health: HealthEvidence::Failed { weight: CONNECTION_RESET_WEIGHT }, ..no_evidence }
             }
-            Outcome::ConnectFailed => Evidence { health: self.connect_failure(), ..nothing },
+            Outcome::ConnectFailed => Evidence { health: self.connect_failure(), ..no_evidence },
             Outcome::Timeout => self.timeout(),
-            Outcome::Cancelled => Evidence { counts_as_load_until: Some(self.abandoned_until()), ..nothing },
-            Outcome::NotSent | Outcome::InvalidRequest => nothing,
+            Outcome::Cancelled => {
+                Evidence { counts_as_load_until: Some(self.abandoned_until()), ..no_evidence }
+            }
+            Outcome::NotSent | Outcome::InvalidRequest => no_evidence,
         }
     }
 
-    /// Whether a connection was refused at once, rather than not answered in time.
+    /// Whether the connection was refused immediately, rather than timing out.
     pub(crate) fn is_connection_refused(&self) -> bool {
-        let limit = self.settings.connect_timeout * REFUSED_WITHIN;
+        let limit = self.settings.connect_timeout * REFUSAL_TIME_SHARE;
         self.result.outcome == Outcome::ConnectFailed && self.result.elapsed < limit
     }
 
-    /// A connection refused at once means a dead process or exhausted connections.
+    /// Weighs a failure to connect. An immediate refusal means that the process is dead or that its
+    /// connections are exhausted.
     fn connect_failure(&self) -> HealthEvidence {
         let is_refused = self.is_connection_refused();
         // If the endpoint has just answered other requests, only this connection may have failed.
@@ -160,20 +155,22 @@
             .endpoint
             .last_response_at()
             .is_some_and(|answered_at| self.now - answered_at < self.settings.connect_timeout);
-        let weight = if is_refused && !has_just_answered { EJECTION_SCORE } else { CONNECTION_LOST };
+        let weight =
+            if is_refused && !has_just_answered { EJECTION_SCORE } else { CONNECTION_FAILURE_WEIGHT };
         let is_counted = self.attempt.is_silence_counted() && !is_refused;
         HealthEvidence::ConnectFailed { weight: (!is_counted).then_some(weight) }
     }
 
-    /// A timeout that is shorter than an answer takes shows nothing, such as that of a late request.
+    /// Returns what a timeout shows. One that is shorter than the usual latency, such as that of a request
+    /// with little time left, says nothing about the health of the endpoint.
     fn timeout(&self) -> Evidence {
         let is_late = self.result.elapsed > self.class_latency.upper(LATE_DEVIATIONS);
         let counts = is_late && !self.attempt.is_cancelled();
-        // An endpoint that still answers is overloaded; ejecting it would overload the others.
+        // An endpoint that still answers other requests is overloaded; ejecting it would overload the others.
         let is_silent = self.endpoint.is_silent_since(self.attempt.sent_at());
-        let failed = HealthEvidence::Failed { weight: FAILURE };
+        let failed = HealthEvidence::Failed { weight: FAILURE_WEIGHT };
         Evidence {
-            health: if counts && is_silent { failed } else { HealthEvidence::Unknown },
+            health: if counts && is_silent { failed } else { HealthEvidence::Inconclusive },
             counts_as_load_until: Some(self.abandoned_until()),
             latency: counts.then(|| self.latency_sample()),
             stale_until: None,
@@ -193,10 +190,10 @@
     }
 }
 
-/// Weight of the failure that an endpoint shows by its silence, while so many attempts are late.
-pub(crate) fn weight_of_silence(is_primary: bool, late_attempts: u32) -> f64 {
+/// Returns the failure weight of an endpoint that is silent while this many attempts are late.
+pub(crate) fn silence_weight(is_primary: bool, late_attempts: u32) -> f64 {
     if is_primary && late_attempts < LATE_ATTEMPTS_TO_EJECT_PRIMARY {
-        CONNECTION_LOST
+        CONNECTION_FAILURE_WEIGHT
     } else {
         EJECTION_SCORE
     }
--- a/src/policy/endpoint/evidence/tests.rs
+++ b/src/policy/endpoint/evidence/tests.rs
@@ -4,7 +4,7 @@
 use crate::interface::LoadReport;
 use crate::time::tests::{at, cluster, secs};
 
-/// When the attempt was sent (seconds).
+/// When the attempt was sent, in seconds.
 const SENT_AT: f64 = 10.0;
 
 struct Case {
@@ -15,7 +15,8 @@
 }
 
 impl Case {
-    /// An endpoint that answered last at this time. Its class takes 50 ms, with as much deviation.
+    /// Creates a case with an endpoint that last responded at `answered_at`. Mean and deviation of the latency
+    /// of the class are 50 ms.
     fn new(answered_at: f64) -> Case {
         let mut endpoint = EndpointState::new("db-1".into(), 0, 0);
         endpoint.attempt_ended(Outcome::Overloaded, at(answered_at));
@@ -54,14 +55,14 @@
 
 #[rstest]
 #[case::served(Outcome::Success, HealthEvidence::Served { sent_at: at(SENT_AT) })]
-#[case::error(Outcome::Error, HealthEvidence::Failed { weight: FAILURE })]
-#[case::reset(Outcome::ConnectionReset, HealthEvidence::Failed { weight: CONNECTION_RESET })]
-#[case::behind(Outcome::Ineligible, HealthEvidence::Unknown)]
-#[case::overloaded(Outcome::Overloaded, HealthEvidence::Unknown)]
-#[case::cancelled(Outcome::Cancelled, HealthEvidence::Unknown)]
-#[case::not_sent(Outcome::NotSent, HealthEvidence::Unknown)]
-#[case::invalid(Outcome::InvalidRequest, HealthEvidence::Unknown)]
-fn an_outcome_shows_of_the_health(#[case] outcome: Outcome, #[case] expected: HealthEvidence) {
+#[case::error(Outcome::Error, HealthEvidence::Failed { weight: FAILURE_WEIGHT })]
+#[case::reset(Outcome::ConnectionReset, HealthEvidence::Failed { weight: CONNECTION_RESET_WEIGHT })]
+#[case::behind(Outcome::Ineligible, HealthEvidence::Inconclusive)]
+#[case::overloaded(Outcome::Overloaded, HealthEvidence::Inconclusive)]
+#[case::cancelled(Outcome::Cancelled, HealthEvidence::Inconclusive)]
+#[case::not_sent(Outcome::NotSent, HealthEvidence::Inconclusive)]
+#[case::invalid(Outcome::InvalidRequest, HealthEvidence::Inconclusive)]
+fn each_outcome_has_its_evidence(#[case] outcome: Outcome, #[case] expected: HealthEvidence) {
     let evidence = Case::new(9.0).evidence(outcome, 0.1);
     assert_eq!(evidence.health, expected);
     assert_eq!(evidence.stale_until.is_some(), outcome == Outcome::Ineligible);
@@ -72,9 +73,9 @@
 
 #[rstest]
 #[case::refused_by_a_dead_process(9.0, 0.01, Some(EJECTION_SCORE))]
-#[case::refused_after_an_answer(9.9, 0.01, Some(CONNECTION_LOST))]
-#[case::timed_out(9.0, 0.25, Some(CONNECTION_LOST))]
-fn a_failed_connection_counts_by_what_it_proves(
+#[case::refused_after_an_answer(9.9, 0.01, Some(CONNECTION_FAILURE_WEIGHT))]
+#[case::timed_out(9.0, 0.25, Some(CONNECTION_FAILURE_WEIGHT))]
+fn a_connect_failure_is_weighted_by_its_cause(
     #[case] answered_at: f64,
     #[case] elapsed: f64,
     #[case] weight: Option<f64>,
@@ -95,23 +96,26 @@
 
 #[test]
 fn a_timeout_counts_if_it_is_late_and_the_endpoint_is_silent() {
-    let failed = HealthEvidence::Failed { weight: FAILURE };
+    let failed = HealthEvidence::Failed { weight: FAILURE_WEIGHT };
     let late = Case::new(9.0).evidence(Outcome::Timeout, 0.2);
     assert_eq!((late.health, late.latency.is_some()), (failed, true));
     let short = Case::new(9.0).evidence(Outcome::Timeout, 0.1);
-    assert_eq!((short.health, short.latency.is_some()), (HealthEvidence::Unknown, false));
+    assert_eq!((short.health, short.latency.is_some()), (HealthEvidence::Inconclusive, false));
     let answers_others = Case::new(10.1).evidence(Outcome::Timeout, 0.2);
-    assert_eq!((answers_others.health, answers_others.latency.is_some()), (HealthEvidence::Unknown, true));
+    assert_eq!(
+        (answers_others.health, answers_others.latency.is_some()),
+        (HealthEvidence::Inconclusive, true)
+    );
     let mut cancelled = Case::new(9.0);
     cancelled.attempt.cancel();
     let cancelled = cancelled.evidence(Outcome::Timeout, 0.2);
-    assert_eq!((cancelled.health, cancelled.latency.is_some()), (HealthEvidence::Unknown, false));
+    assert_eq!((cancelled.health, cancelled.latency.is_some()), (HealthEvidence::Inconclusive, false));
     assert_eq!(cancelled.counts_as_load_until, Some(at(SENT_AT + 0.2) + secs(0.05) + secs(0.05)));
 }
 
 #[test]
 fn a_silent_primary_is_ejected_with_its_second_late_attempt() {
-    assert_eq!(weight_of_silence(true, 1), CONNECTION_LOST);
-    assert_eq!(weight_of_silence(true, 2), EJECTION_SCORE);
-    assert_eq!(weight_of_silence(false, 1), EJECTION_SCORE);
+    assert_eq!(silence_weight(true, 1), CONNECTION_FAILURE_WEIGHT);
+    assert_eq!(silence_weight(true, 2), EJECTION_SCORE);
+    assert_eq!(silence_weight(false, 1), EJECTION_SCORE);
 }
--- a/src/policy/endpoint/listing.rs
+++ b/src/policy/endpoint/listing.rs
@@ -1,24 +1,23 @@
-//! What the endpoint list says of an endpoint.
+//! The entry of an endpoint in the endpoint list.
 
 use crate::interface::{Endpoint, EndpointStatus, Role, UpdateKind};
 use crate::policy::cluster::ClusterClock;
 use crate::time::{ClusterInstant, LocalInstant, Span};
 
-/// A start of an endpoint, as the endpoint list reports it.
+/// A start time of an endpoint, as the endpoint list reports it.
 #[derive(Clone, Copy)]
 struct ListedStart {
     started_at: ClusterInstant,
-    /// When the list first reported it.
+    /// When the list first reported this start.
     listed_at: LocalInstant,
 }
 
 /// Whether an update of the endpoint list shows that an endpoint has restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Restart {
-    /// It has not.
-    None,
-    /// It has: it warms up, and its health begins anew.
-    Restarted,
+    NotDetected,
+    /// The endpoint has restarted: slow start applies, and its health state is reset.
+    Detected,
 }
 
 /// The entry of an endpoint in the endpoint list, and when it changed.
@@ -27,23 +26,23 @@
     zone: u32,
     group: u32,
     status: EndpointStatus,
-    /// It was listed as draining: binding even where removal is only advisory.
+    /// Whether it was listed as draining. This is binding even where removal is only advisory.
     drain_announced: bool,
     start: Option<ListedStart>,
-    /// When it was last listed as anything but removed.
+    /// When it was last listed with a status other than removed.
     last_listed_at: LocalInstant,
-    /// Since when the list has named it as the primary, if it does.
+    /// Since when the list has named it as the primary; `None` if the list does not.
     primary_since: Option<LocalInstant>,
 }
 
 impl Listing {
-    /// The listing of an endpoint of which only its place is known.
+    /// Creates the listing of an endpoint of which only zone and group are known.
     pub(crate) fn new(zone: u32, group: u32) -> Listing {
         Listing { zone, group, ..Listing::default() }
     }
 
-    /// Takes over an entry of the endpoint list.
-    pub(crate) fn apply(&mut self, kind: UpdateKind, entry: &Endpoint, now: LocalInstant) -> Restart {
+    /// Applies an entry of the endpoint list, except for its group.
+    pub(crate) fn apply_entry(&mut self, kind: UpdateKind, entry: &Endpoint, now: LocalInstant) -> Restart {
         self.zone = entry.zone;
         self.apply_role(kind, entry.role, now);
         self.apply_status(entry.status);
@@ -70,58 +69,56 @@
     fn apply_start(&mut self, started_at: Option<ClusterInstant>, now: LocalInstant) -> Restart {
         let known = self.start.map(|start| start.started_at);
         let Some(started_at) = started_at.filter(|started_at| Some(*started_at) > known) else {
-            return Restart::None;
+            return Restart::NotDetected;
         };
         self.start = Some(ListedStart { started_at, listed_at: now });
-        Restart::Restarted
+        Restart::Detected
     }
 
-    /// Notes that a complete list does not name the endpoint.
+    /// Sets the status to removed, since a complete list does not contain the endpoint.
     pub(crate) fn mark_removed(&mut self) {
         self.status = EndpointStatus::Removed;
     }
 
-    /// Notes that the list in force names the endpoint.
+    /// Records that the current list contains the endpoint.
     pub(crate) fn mark_listed(&mut self, now: LocalInstant) {
         self.last_listed_at = now;
     }
 
-    /// Moves the endpoint to a group. Returns the group that it was in.
+    /// Moves the endpoint to a group. Returns its previous group.
     pub(crate) fn move_to_group(&mut self, group: u32) -> u32 {
         std::mem::replace(&mut self.group, group)
     }
 
-    /// The zone that the endpoint is in.
     pub(crate) fn zone(&self) -> u32 {
         self.zone
     }
 
-    /// The group that the endpoint belongs to.
     pub(crate) fn group(&self) -> u32 {
         self.group
     }
 
-    /// Its status.
     pub(crate) fn status(&self) -> EndpointStatus {
         self.status
     }
 
-    /// Whether the list has announced that it drains.
+    /// Whether the list has announced that the endpoint drains.
     pub(crate) fn is_drain_announced(&self) -> bool {
         self.drain_announced
     }
 
-    /// When it was last listed as anything but removed.
+    /// Returns when the endpoint was last listed with a status other than removed.
     pub(crate) fn last_listed_at(&self) -> LocalInstant {
         self.last_listed_at
     }
 
-    /// Since when the list has named it as the primary, if it does.
+    /// Returns since when the list has named the endpoint as the primary; `None` if the list does not.
     pub(crate) fn primary_since(&self) -> Option<LocalInstant> {
         self.primary_since
     }
 
-    /// For how long the endpoint has been up at least, if the list says when it started.
+    /// Returns the minimum time for which the endpoint has been up, or `None` if the list does not say when
+    /// it started.
     pub(crate) fn min_uptime(&self, clock: &ClusterClock, now: LocalInstant) -> Option<Span> {
         let start = self.start?;
         let since_listed = now - start.listed_at;
--- a/src/policy/endpoint/listing/tests.rs
+++ b/src/policy/endpoint/listing/tests.rs
@@ -2,7 +2,7 @@
 use crate::time::tests::at;
 
 #[test]
-fn an_announced_drain_outlives_the_removal_and_ends_with_a_return() {
+fn an_announced_drain_survives_removal_and_ends_when_the_endpoint_serves_again() {
     let mut listing = Listing::new(0, 0);
     let entry = |status| Endpoint { id: "db-1".into(), status, ..Endpoint::default() };
     for (status, is_announced) in [
@@ -11,7 +11,7 @@
         (EndpointStatus::Removed, true),
         (EndpointStatus::Serving, false),
     ] {
-        listing.apply(UpdateKind::Delta, &entry(status), at(1.0));
+        listing.apply_entry(UpdateKind::Delta, &entry(status), at(1.0));
         assert_eq!(listing.is_drain_announced(), is_announced, "{status:?}");
     }
 }
--- a/src/policy/endpoint/load.rs
+++ b/src/policy/endpoint/load.rs
@@ -1,22 +1,22 @@
-//! The load of an endpoint as this pooler sees it.
+//! Load and latency of an endpoint, as measured by this pooler.
 
 use crate::time::{LocalInstant, Span};
 
-/// Highest latency ratio of a single sample, which limits the influence of extreme samples.
+/// Upper limit of the latency ratio of a single sample, which limits the influence of outliers.
 const MAX_LATENCY_RATIO: f64 = 10.0;
-/// Lowest latency ratio with which a latency is predicted.
+/// Lower limit of the latency ratio in predictions.
 const MIN_PREDICTED_RATIO: f64 = 0.5;
-/// Weight of a new sample in running means, which so cover about ten answers.
+/// Weight of a new sample in the running means; they cover about ten responses.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// The requests that this pooler has in flight at an endpoint, and how fast it answers.
+/// The attempts that this pooler has in flight at an endpoint, and the relative latency of the endpoint.
 pub(crate) struct EndpointLoad {
     in_flight: u32,
-    /// Abandoned attempts that may still be executed: they count as load until these times.
+    /// Abandoned attempts that may still be executing; each counts as load until the given time.
     abandoned_until: Vec<LocalInstant>,
-    /// Running mean of the requests in flight when one more was sent.
-    usual_in_flight: f64,
-    /// Running mean of the latency over what the class takes elsewhere.
+    /// Running mean of the number of attempts in flight, sampled whenever one more is sent.
+    mean_in_flight: f64,
+    /// Running mean of the latency, relative to the mean latency of the request's class at all endpoints.
     latency_ratio: f64,
     last_sent_at: Option<LocalInstant>,
 }
@@ -26,7 +26,7 @@
         EndpointLoad {
             in_flight: 0,
             abandoned_until: Vec::new(),
-            usual_in_flight: 0.0,
+            mean_in_flight: 0.0,
             latency_ratio: 1.0,
             last_sent_at: None,
         }
@@ -34,61 +34,61 @@
 }
 
 impl EndpointLoad {
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn attempt_sent(&mut self, now: LocalInstant) {
-        self.usual_in_flight += SAMPLE_WEIGHT * (f64::from(self.in_flight) - self.usual_in_flight);
+        self.mean_in_flight += SAMPLE_WEIGHT * (f64::from(self.in_flight) - self.mean_in_flight);
         self.in_flight += 1;
         self.last_sent_at = Some(now);
     }
 
-    /// Notes that an attempt has ended.
+    /// Records that an attempt ended.
     pub(crate) fn attempt_ended(&mut self, now: LocalInstant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.abandoned_until.retain(|until| *until > now);
     }
 
-    /// Counts an attempt that has ended as load for some time more.
-    pub(crate) fn count_abandoned(&mut self, until: LocalInstant) {
+    /// Counts an attempt that has ended as load until the given time.
+    pub(crate) fn record_abandoned(&mut self, until: LocalInstant) {
         self.abandoned_until.push(until);
     }
 
-    /// Takes a measured latency over that of its class into the running mean.
-    pub(crate) fn sample_latency(&mut self, latency: Span, class_mean: Span) {
+    /// Adds a latency, relative to the mean of its class, to the running mean.
+    pub(crate) fn record_latency(&mut self, latency: Span, class_mean: Span) {
         let ratio = (latency / class_mean).min(MAX_LATENCY_RATIO);
         self.latency_ratio += SAMPLE_WEIGHT * (ratio - self.latency_ratio);
     }
 
-    /// Forgets how fast the endpoint answered before it was ejected.
-    pub(crate) fn forget_latency(&mut self) {
+    /// Discards the latencies that were measured before an ejection.
+    pub(crate) fn reset_latency_ratio(&mut self) {
         self.latency_ratio = 1.0;
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight, without abandoned ones.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Attempts in flight, abandoned ones included.
+    /// Returns the number of attempts in flight, including abandoned ones that may still be executing.
     pub(crate) fn total(&self, now: LocalInstant) -> u32 {
         let abandoned = self.abandoned_until.iter().filter(|until| **until > now).count();
         self.in_flight + abandoned as u32
     }
 
-    /// Expected latency of one more request, where the class takes this time on the mean of all endpoints: in
-    /// proportion to the endpoint's latency so far, and to its load over its usual one.
+    /// Predicts the latency of one more request of a class whose mean latency at all endpoints is
+    /// `class_mean`. The prediction is proportional to the latency ratio of the endpoint, and to its present
+    /// load relative to its mean load where that is above 1.
     pub(crate) fn predict_latency(&self, class_mean: Span, now: LocalInstant) -> Span {
-        let load_factor = (f64::from(self.total(now)) + 1.0) / (self.usual_in_flight + 1.0);
+        let load_factor = (f64::from(self.total(now)) + 1.0) / (self.mean_in_flight + 1.0);
         class_mean * self.latency_ratio.max(MIN_PREDICTED_RATIO) * load_factor.max(1.0)
     }
 
-    /// When the last attempt was sent.
     pub(crate) fn last_sent_at(&self) -> Option<LocalInstant> {
         self.last_sent_at
     }
 
-    /// Attempts that count as load although they have ended.
+    /// Returns the number of abandoned attempts that are kept, whether or not they still count as load.
     #[cfg(test)]
-    pub(crate) fn abandoned(&self) -> usize {
+    pub(crate) fn abandoned_count(&self) -> usize {
         self.abandoned_until.len()
     }
 }
--- a/src/policy/endpoint/mod.rs
+++ b/src/policy/endpoint/mod.rs
@@ -1,5 +1,4 @@
-//! What is known of one endpoint: its entry in the endpoint list, its role and log position, its health and
-//! its load.
+//! State of one endpoint: its entry in the endpoint list, its role and log position, its health and its load.
 
 pub(crate) mod evidence;
 mod listing;
@@ -18,7 +17,7 @@
 use outlier_detection::OutlierDetector;
 pub(crate) use replication::{PrimaryClaim, Replication, ReportAge};
 
-/// Everything that is known of one endpoint.
+/// The state that the policy keeps for one endpoint.
 #[derive(Default)]
 pub(crate) struct EndpointState {
     id: EndpointId,
@@ -27,49 +26,55 @@
     health: OutlierDetector,
     load: EndpointLoad,
     last_response_at: Option<LocalInstant>,
-    /// When the latest of the attempts was sent that it has served.
+    /// The latest send time among the attempts that the endpoint has served.
     latest_served_sent_at: Option<LocalInstant>,
 }
 
 impl EndpointState {
-    /// An endpoint of which nothing is known but its place.
+    /// Creates the state of a new endpoint, of which only zone and group are known.
     pub(crate) fn new(id: EndpointId, zone: u32, group: u32) -> EndpointState {
         EndpointState { id, listing: Listing::new(zone, group), ..EndpointState::default() }
     }
 
-    /// Takes over an entry of the endpoint list. A restart resets the health of the endpoint.
-    pub(crate) fn apply(&mut self, kind: UpdateKind, entry: &Endpoint, now: LocalInstant) -> Restart {
-        let restart = self.listing.apply(kind, entry, now);
-        if restart == Restart::Restarted {
+    /// Applies an entry of the endpoint list. Resets the health of the endpoint if it has restarted.
+    pub(crate) fn apply_list_entry(
+        &mut self,
+        kind: UpdateKind,
+        entry: &Endpoint,
+        now: LocalInstant,
+    ) -> Restart {
+        let restart = self.listing.apply_entry(kind, entry, now);
+        if restart == Restart::Detected {
             self.health.reset();
         }
         restart
     }
 
-    /// Takes in what the endpoint has reported about itself.
-    pub(crate) fn observe(
+    /// Updates role and log position from a report of the endpoint about itself.
+    pub(crate) fn observe_report(
         &mut self,
         report: &LoadReport,
         age: ReportAge,
         clock: &ClusterClock,
         now: LocalInstant,
     ) {
-        self.replication.observe(report, age, clock, now);
+        self.replication.observe_report(report, age, clock, now);
     }
 
-    /// The newest claim that it is the primary, by itself or by a list whose roles are of that age.
+    /// Returns the newest claim that this endpoint is the primary, made by the endpoint itself or by the
+    /// endpoint list. The roles in the list are taken to be `list_age` old.
     pub(crate) fn primary_claim(&self, list_age: Span) -> Option<PrimaryClaim> {
         let listed_at = self.listing.primary_since().map(|since| since - list_age);
         self.replication.primary_claim(listed_at)
     }
 
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn attempt_sent(&mut self, now: LocalInstant) {
         self.health.request_sent();
         self.load.attempt_sent(now);
     }
 
-    /// Notes that an attempt ended in this way.
+    /// Records that an attempt ended with this outcome.
     pub(crate) fn attempt_ended(&mut self, outcome: Outcome, now: LocalInstant) {
         self.health.request_ended();
         self.load.attempt_ended(now);
@@ -78,7 +83,7 @@
         }
     }
 
-    /// Takes in what an outcome has shown. Returns the change of state that follows, if any.
+    /// Applies the evidence of an outcome. Returns the resulting ejection or reinstatement, if any.
     pub(crate) fn apply_evidence(
         &mut self,
         evidence: &Evidence,
@@ -87,16 +92,16 @@
         rng: &mut Rng,
     ) -> Option<StateChange> {
         if let Some(sample) = evidence.latency {
-            self.load.sample_latency(sample.latency, sample.class_mean);
+            self.load.record_latency(sample.latency, sample.class_mean);
         }
         if let Some(until) = evidence.counts_as_load_until {
-            self.load.count_abandoned(until);
+            self.load.record_abandoned(until);
         }
         if let Some(until) = evidence.stale_until {
             self.replication.mark_stale_until(until);
         }
         match evidence.health {
-            HealthEvidence::Unknown => None,
+            HealthEvidence::Inconclusive => None,
             HealthEvidence::Served { sent_at } => self.record_success(sent_at, now),
             HealthEvidence::Failed { weight } => self.record_failure(weight, now, connect_timeout, rng),
             HealthEvidence::ConnectFailed { weight } => {
@@ -112,11 +117,11 @@
         if !self.health.record_success(now) {
             return None;
         }
-        self.load.forget_latency();
+        self.load.reset_latency_ratio();
         Some(StateChange::Reinstated(self.id.clone()))
     }
 
-    /// Counts a failure of this weight. Returns the ejection that follows, if any.
+    /// Adds a failure of this weight to the failure score. Returns the resulting ejection, if any.
     pub(crate) fn record_failure(
         &mut self,
         weight: f64,
@@ -128,52 +133,49 @@
         is_ejected.then(|| StateChange::Ejected(self.id.clone()))
     }
 
-    /// Its identifier.
     pub(crate) fn id(&self) -> &EndpointId {
         &self.id
     }
 
-    /// Its entry in the endpoint list.
+    /// Returns the entry of the endpoint in the endpoint list.
     pub(crate) fn listing(&self) -> &Listing {
         &self.listing
     }
 
-    /// Its entry in the endpoint list, to be changed.
     pub(crate) fn listing_mut(&mut self) -> &mut Listing {
         &mut self.listing
     }
 
-    /// Its role and its log position.
+    /// Returns the role and the log position of the endpoint.
     pub(crate) fn replication(&self) -> &Replication {
         &self.replication
     }
 
-    /// Its outlier detector.
     pub(crate) fn health(&self) -> &OutlierDetector {
         &self.health
     }
 
-    /// Its load.
     pub(crate) fn load(&self) -> &EndpointLoad {
         &self.load
     }
 
-    /// When it last answered.
+    /// Returns when the last response of any kind arrived.
     pub(crate) fn last_response_at(&self) -> Option<LocalInstant> {
         self.last_response_at
     }
 
-    /// Whether it has answered nothing since this time.
+    /// Whether the endpoint has not responded at or after `time`.
     pub(crate) fn is_silent_since(&self, time: LocalInstant) -> bool {
         self.last_response_at.is_none_or(|answered_at| answered_at < time)
     }
 
-    /// When the latest of the attempts was sent that it has served.
+    /// Returns the latest send time among the attempts that the endpoint has served.
     pub(crate) fn latest_served_sent_at(&self) -> Option<LocalInstant> {
         self.latest_served_sent_at
     }
 
-    /// Whether it was removed, and neither listed nor used since this time.
+    /// Whether the endpoint was removed from the list, has no attempt in flight, and was last listed and
+    /// used before `horizon`.
     pub(crate) fn is_removed_since(&self, horizon: LocalInstant) -> bool {
         let last_used = self.load.last_sent_at().max(Some(self.listing.last_listed_at()));
         let is_idle = self.load.in_flight() == 0 && last_used < Some(horizon);
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -1,4 +1,4 @@
-//! The role and the log position of an endpoint, as it reports them itself.
+//! The role and the log position that an endpoint reports about itself.
 
 use crate::interface::{LoadReport, Role};
 use crate::policy::cluster::ClusterClock;
@@ -11,23 +11,23 @@
     reported_at: LocalInstant,
 }
 
-/// A role that an endpoint claimed, dated by the time that it speaks of; a claim without a date is older than
-/// any other.
+/// A role that an endpoint has reported, and as of when. A claim without a date counts as older than any
+/// dated claim.
 #[derive(Clone, Copy)]
 struct RoleClaim {
     role: Role,
     at: Option<LocalInstant>,
 }
 
-/// A claim that an endpoint is the primary; the newest one is believed.
+/// A claim that an endpoint is the primary. Of several claims, the newest one is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PrimaryClaim {
-    /// The time that it speaks of; unknown for a claim that is older than any other.
+    /// As of when the claim holds; `None` counts as older than any dated claim.
     at: Option<LocalInstant>,
 }
 
 impl PrimaryClaim {
-    /// Whether it speaks of an earlier time than another claim.
+    /// Whether the claim is dated earlier than `other`.
     pub(crate) fn is_older_than(&self, other: &PrimaryClaim) -> bool {
         match (self.at, other.at) {
             (Some(own), Some(other)) => own < other,
@@ -39,34 +39,34 @@
 
 #[cfg(test)]
 impl PrimaryClaim {
-    /// A claim of this time.
+    /// Creates a claim that is dated `at`.
     pub(crate) fn at(at: LocalInstant) -> PrimaryClaim {
         PrimaryClaim { at: Some(at) }
     }
 }
 
-/// How old a report of an endpoint about itself is.
+/// The age of a report that an endpoint made about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportAge {
-    /// It came with an answer and speaks of the present.
+    /// The report came with a response and describes the present.
     Current,
-    /// It was written some time ago, at its log position.
+    /// The report was written at some earlier time; its role is as of its log position.
     Unknown,
 }
 
-/// What an endpoint has reported of its replication.
+/// The replication state of an endpoint, according to its own reports.
 #[derive(Default)]
 pub(crate) struct Replication {
     role: Option<RoleClaim>,
     reported: Option<ReportedPosition>,
-    /// Until then it is taken to be behind, since it has rejected a read.
+    /// The endpoint has rejected a read and is assumed to lag behind until then.
     stale_until: Option<LocalInstant>,
 }
 
 impl Replication {
-    /// Takes in a reported log position, which never goes back, and a reported role. A role in an answer is
-    /// as of now; one in a load report, whose age is unknown, is as of its log position.
-    pub(crate) fn observe(
+    /// Applies a reported log position, which never decreases, and a reported role. A role in a response is
+    /// dated now; one in a load report, whose age is unknown, is dated by its log position.
+    pub(crate) fn observe_report(
         &mut self,
         report: &LoadReport,
         age: ReportAge,
@@ -74,7 +74,7 @@
         now: LocalInstant,
     ) {
         let position = report.log_position.filter(|position| clock.is_plausible(*position, now));
-        // A claim with a position below the known one was written earlier: it may be no primary by now.
+        // A report with a position below the known one is older: the role in it may have been lost since.
         let is_outdated = position.is_some_and(|position| Some(position) < self.log_position());
         if let Some(position) = position.filter(|position| Some(*position) > self.log_position()) {
             self.reported = Some(ReportedPosition { position, reported_at: now });
@@ -89,7 +89,8 @@
         }
     }
 
-    /// The newest claim that it is the primary: its own, or that of a list whose roles are as of `listed_at`.
+    /// Returns the newest claim that the endpoint is the primary: its own, or that of an endpoint list whose
+    /// roles are as of `listed_at`.
     pub(crate) fn primary_claim(&self, listed_at: Option<LocalInstant>) -> Option<PrimaryClaim> {
         let listed = listed_at.map(|listed_at| PrimaryClaim { at: Some(listed_at) });
         let Some(own) = self.role else { return listed };
@@ -101,28 +102,28 @@
         }
     }
 
-    /// Notes that it has rejected a read, and is taken to be behind until then.
+    /// Records that the endpoint has rejected a read and is assumed to lag behind until the given time.
     pub(crate) fn mark_stale_until(&mut self, until: LocalInstant) {
         self.stale_until = Some(until);
     }
 
-    /// Whether it is taken to be behind, since it has rejected a read.
+    /// Whether the endpoint is assumed to lag behind because it has rejected a read.
     pub(crate) fn is_marked_stale(&self, now: LocalInstant) -> bool {
         self.stale_until.is_some_and(|until| now < until)
     }
 
-    /// The highest log position that it has reported.
+    /// Returns the highest log position that the endpoint has reported.
     pub(crate) fn log_position(&self) -> Option<LogPosition> {
         self.reported.map(|reported| reported.position)
     }
 
-    /// When it first reported its present log position. A later report of the same position does not change
-    /// it.
+    /// Returns when the endpoint first reported its present log position. Later reports of the same position
+    /// do not change this time.
     pub(crate) fn reported_at(&self) -> Option<LocalInstant> {
         self.reported.map(|reported| reported.reported_at)
     }
 
-    /// How far it was behind when it reported its log position.
+    /// Returns the replication lag of the endpoint at the time when it reported its log position.
     pub(crate) fn lag(&self, clock: &ClusterClock) -> Option<Span> {
         let reported = self.reported?;
         Some(clock.estimate(reported.reported_at) - reported.position)
--- a/src/policy/freshness/tests.rs
+++ b/src/policy/freshness/tests.rs
@@ -12,16 +12,16 @@
     cluster
 }
 
-/// A replica that has reported this position at that time.
+/// Creates a replica that reported `log_position` at `reported_at`.
 fn replica(log_position: f64, reported_at: f64) -> EndpointState {
     let mut endpoint = EndpointState::new("replica".into(), 0, 0);
     let report = LoadReport { log_position: Some(position(log_position)), role: Some(Role::Replica) };
     let clock = cluster(reported_at, StaleReadHandling::Reject);
-    endpoint.observe(&report, ReportAge::Current, clock.clock(), at(reported_at));
+    endpoint.observe_report(&report, ReportAge::Current, clock.clock(), at(reported_at));
     endpoint
 }
 
-/// The replica was 0.1 s behind when it reported its position, 9.9 s.
+/// The replica lagged 0.1 s behind when it reported its position, 9.9 s.
 #[rstest]
 #[case::reached(10.0, 9.9, Freshness::Fresh)]
 #[case::reached_if_its_lag_is_unchanged(10.05, 9.94, Freshness::PossiblyFresh)]
@@ -89,6 +89,9 @@
     assert!(needs_refresh(&endpoint, &at_time(10.8)));
     let remote = EndpointState::new("remote".into(), 1, 0);
     assert!(!needs_refresh(&remote, &at_time(10.8)));
-    assert!(needs_refresh(&remote, &cluster(10.8, StaleReadHandling::Serve)), "no read may find it out");
+    assert!(
+        needs_refresh(&remote, &cluster(10.8, StaleReadHandling::Serve)),
+        "no read may be sent to learn the position"
+    );
     assert_eq!(at_time(10.0).shortest_staleness_bound(), secs(1.0));
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! The health of endpoints: what the policy does about health checks and silent endpoints.
+//! Health of endpoints: how the policy evaluates health checks and silent endpoints.
 
 use crate::interface::{Action, EndpointId, LoadReport, Outcome};
 use crate::policy::cluster::EndpointKey;
@@ -6,14 +6,14 @@
 use crate::policy::Policy;
 
 impl Policy {
-    /// Takes in the end of a health check.
+    /// Handles the end of a health check.
     pub(crate) fn health_checked(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
         let Some(endpoint) = self.cluster.endpoints().key(id) else { return };
         self.health_checks.finished(endpoint);
         match outcome {
-            // Not recorded as a success: an endpoint that hangs still answers health checks.
+            // Not recorded as a success, since an endpoint that hangs still answers health checks.
             Outcome::Success => self.cluster.observe_report(endpoint, report),
-            // Endpoints limit the rate of health checks: a rejection is no failure.
+            // Not recorded as a failure, since endpoints limit the rate of health checks.
             Outcome::Overloaded | Outcome::NotSent => {}
             Outcome::Error
             | Outcome::Timeout
@@ -21,14 +21,15 @@
             | Outcome::ConnectionReset
             | Outcome::Cancelled
             | Outcome::Ineligible
-            | Outcome::InvalidRequest => self.record_failure(endpoint, evidence::FAILURE),
+            | Outcome::InvalidRequest => self.record_failure(endpoint, evidence::FAILURE_WEIGHT),
         }
         self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
-    /// Counts the silence of an endpoint, at which so many attempts are late, as a failure.
+    /// Records the silence of an endpoint as a failure. `late_attempts` is the number of attempts at the
+    /// endpoint that are late.
     pub(crate) fn record_silence(&mut self, endpoint: EndpointKey, late_attempts: u32) {
-        let weight = evidence::weight_of_silence(self.cluster.is_primary(endpoint), late_attempts);
+        let weight = evidence::silence_weight(self.cluster.is_primary(endpoint), late_attempts);
         self.record_failure(endpoint, weight);
     }
 
