--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -8,7 +8,7 @@
 //! | Outcome | Failure weight | Counts as load for | Latency sample | Freshness |
 //! |---|---|---|---|---|
 //! | `Success` | halves the score; ends an ejection | | yes | |
-//! | `Ineligible` | | | | stale for at least its lag |
+//! | `Ineligible` | | | | stale for as long as its lag |
 //! | `Overloaded` | | mean latency | | |
 //! | `Error` | [`FAILURE_WEIGHT`] | | | |
 //! | `ConnectFailed`, refused | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] if it just answered | | | |
