--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -123,9 +123,11 @@
 
     fn timer_expired(&mut self, timer: TimerEvent, context: &mut Context) {
         match timer {
-            TimerEvent::Policy(cookie) => self.notify_policy(interface::Event::Timer { cookie }, context),
+            TimerEvent::Policy(cookie) => {
+                self.notify_policy(interface::Event::TimerExpired { cookie }, context)
+            }
             TimerEvent::RetryAccept => self.frontend.accept(context),
-            TimerEvent::IdleSweep => self.frontend.close_idle(context),
+            TimerEvent::IdleSweep => self.frontend.close_idle_connections(context),
             TimerEvent::Client(client) => self.frontend.timer_expired(client, context),
             TimerEvent::Backend(connection) => self.backend.timer_expired(connection, context),
             TimerEvent::Discovery(watch) => self.discovery.timer_expired(watch, context),
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -164,7 +164,7 @@
     /// Returns what a timeout shows. One that is shorter than the usual latency, such as that of a request
     /// with little time left, says nothing about the health of the endpoint.
     fn timeout(&self) -> Evidence {
-        let is_late = self.result.elapsed > self.class_latency.upper(LATE_DEVIATIONS);
+        let is_late = self.result.elapsed > self.class_latency.upper_bound(LATE_DEVIATIONS);
         let counts = is_late && !self.attempt.is_cancelled();
         // An endpoint that still answers other requests is overloaded; ejecting it would overload the others.
         let is_silent = self.endpoint.is_silent_since(self.attempt.sent_at());
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -23,7 +23,7 @@
             | Outcome::Ineligible
             | Outcome::InvalidRequest => self.record_failure(endpoint, evidence::FAILURE_WEIGHT),
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+        self.update_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Records the silence of an endpoint as a failure. `late_attempts` is the number of attempts at the
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -56,7 +56,7 @@
 use primary::health_checks::HealthChecks;
 use request::RequestTable;
 use retry::RetryBudget;
-use session::Sessions;
+use session::SessionTracker;
 use slow_start::SlowStart;
 use watch::{Watch, WatchChange};
 
@@ -85,7 +85,7 @@
     slow_start: SlowStart,
     retry_budget: RetryBudget,
     health_checks: HealthChecks,
-    sessions: Sessions,
+    sessions: SessionTracker,
     watch: Watch,
     connection_shortage: ConnectionShortage,
     housekeeping: Housekeeping,
@@ -108,7 +108,7 @@
             slow_start: SlowStart::new(),
             retry_budget: RetryBudget::new(),
             health_checks: HealthChecks::new(),
-            sessions: Sessions::default(),
+            sessions: SessionTracker::default(),
             watch: Watch::default(),
             connection_shortage: ConnectionShortage::default(),
             housekeeping: Housekeeping::new(&settings),
@@ -123,18 +123,18 @@
         self.cluster.advance_to(now);
         match event {
             Event::WatchFailed => self.watch_failed(),
-            Event::Endpoints { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
+            Event::EndpointsUpdated { kind, endpoints } => self.endpoints_updated(kind, &endpoints),
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
-            Event::HealthChecked { endpoint, outcome, report } => {
+            Event::HealthCheckFinished { endpoint, outcome, report } => {
                 self.health_checked(&endpoint, outcome, &report);
             }
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
             }
-            Event::ShutdownImminent { id } => self.request_cut_off(&id),
-            Event::Timer { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
-            Event::Timer { cookie } => self.request_timer_expired(cookie),
+            Event::ShutdownImminent { id } => self.shutdown_imminent(&id),
+            Event::TimerExpired { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
+            Event::TimerExpired { cookie } => self.request_timer_expired(cookie),
         }
         self.schedule_housekeeping();
         actions.append(&mut self.actions);
@@ -160,7 +160,7 @@
         for group in self.cluster.endpoints().group_ids() {
             self.cluster.endpoints_mut().purge_removed(group, horizon);
             self.search_primary(group);
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
@@ -187,17 +187,17 @@
             self.slow_start.endpoint_started(endpoint);
         }
         for group in self.cluster.endpoints().group_ids() {
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
     /// How many endpoints are kept in memory, those that were removed recently included.
-    pub fn endpoints_known(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slot_count()
     }
 
     /// How many groups are kept in memory.
-    pub fn groups_known(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.cluster.endpoints().group_count()
     }
 }
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -86,7 +86,11 @@
             cluster,
             admission,
             slow_start,
-            required: RequiredPosition::for_consistency(consistency, request.terms().session_token, cluster),
+            required: RequiredPosition::for_consistency(
+                consistency,
+                request.context().session_token,
+                cluster,
+            ),
             slow_start_share: slow_start.share_of_reads(group, cluster),
             choices,
             primary: group.primary(),
@@ -244,7 +248,7 @@
 
     /// Whether it is of a class whose reads take so long that they can block the log of a replica.
     fn is_long_read(&self) -> bool {
-        let mean_latency = self.admission.latency(self.request.class()).mean();
+        let mean_latency = self.admission.class_latency(self.request.class()).mean();
         self.is_eventual() && mean_latency > self.cluster.shortest_staleness_bound()
     }
 
