--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -34,8 +34,8 @@
 
 /// The endpoints' clock, on which log positions and the start times of endpoints are given.
 ///
-/// It is ahead of the pooler's clock by an offset that is known within bounds. The pooler's clock is
-/// monotonic, but may have been wrong when it was set at the start.
+/// It is ahead of the pooler's clock by an offset that is known within bounds. The pooler's clock runs at a
+/// steady rate, but the system time from which it started may have been wrong.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClusterClock {
     /// Whether the pooler reads the same clock as the endpoints, so that the offset is zero.
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Returns the lower bound of the offset at `now`, widened by the drift since it was measured.
+    /// Returns the lower bound of the offset at `now`, if there is one, widened by the drift since it was
+    /// measured.
     fn known_min_offset(&self, now: LocalInstant) -> Option<Span> {
         if self.is_shared {
             return Some(Span::ZERO);
@@ -107,7 +108,8 @@
         self.min_offset.map(|bound| bound.offset - MAX_DRIFT * (now - bound.measured_at))
     }
 
-    /// Returns the upper bound of the offset at `now`, widened by the drift since it was measured.
+    /// Returns the upper bound of the offset at `now`, if there is one, widened by the drift since it was
+    /// measured.
     fn known_max_offset(&self, now: LocalInstant) -> Option<Span> {
         if self.is_shared {
             return Some(Span::ZERO);
--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the endpoint list, and the groups that they form.
+//! The endpoints of the endpoint list, including recently removed ones, and the groups that they form.
 
 use std::collections::{BTreeMap, HashMap};
 use std::ops::{Index, IndexMut};
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -12,7 +12,7 @@
 pub(crate) use endpoint_table::{EndpointKey, EndpointTable, StartedEndpoints};
 pub(crate) use group::Group;
 
-/// Upper limit of [`Cluster::shortest_staleness_bound`], which applies if no class has a staleness bound.
+/// Upper limit of [`Cluster::shortest_staleness_bound`], and its value if no class has a staleness bound.
 const MAX_SHORTEST_STALENESS_BOUND: Span = Span::from_secs(1.0);
 
 /// The state of the cluster, as far as the pooler knows it.
--- a/src/policy/endpoint/evidence/tests.rs
+++ b/src/policy/endpoint/evidence/tests.rs
@@ -15,8 +15,8 @@
 }
 
 impl Case {
-    /// Creates a case with an endpoint that last responded at `answered_at`. Mean and deviation of the latency
-    /// of the class are 50 ms.
+    /// Creates a case with an endpoint that last responded at `answered_at`. The latency of the class has a
+    /// mean and a deviation of 50 ms.
     fn new(answered_at: f64) -> Case {
         let mut endpoint = EndpointState::new("db-1".into(), 0, 0);
         endpoint.attempt_ended(Outcome::Overloaded, at(answered_at));
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -80,7 +80,7 @@
     Fresh,
     /// The endpoint may be recent enough; if it is not, it rejects the read without executing it.
     PossiblyFresh,
-    /// The endpoint is assumed to lag behind, or may lag behind and would then serve stale data.
+    /// The endpoint is known or assumed to lag behind, or may lag behind and would then serve stale data.
     Stale,
 }
 
