--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -78,7 +78,7 @@
         session_token: fields.session_token,
         has_idempotency_key: fields.has_idempotency_key,
         session_key: first_quoted_string(statement).map(String::from),
-        statement: Statement { text: sql.into(), timeout_range: fields.timeout_position, memory: None },
+        statement: Statement { text: sql.into(), timeout_range: fields.timeout_range, memory: None },
     }
 }
 
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -82,7 +82,7 @@
     /// How long the client waits; greater than zero.
     pub timeout: Duration,
     /// The byte range of the timeout's digits in the query.
-    pub timeout_position: Range<usize>,
+    pub timeout_range: Range<usize>,
     /// The time of the commit that the query must see, if any.
     pub session_token: Option<ClusterInstant>,
     /// Whether the request has an idempotency key. Only the endpoint uses its value.
@@ -104,7 +104,7 @@
         RawValue { text: without_leading.trim_end(), start: start + leading }
     }
 
-    fn position(&self) -> Range<usize> {
+    fn range(&self) -> Range<usize> {
         self.start..self.start + self.text.len()
     }
 }
@@ -177,7 +177,7 @@
             tenant: self.tenant.map(|tenant| tenant.text.into()).unwrap_or_default(),
             group,
             timeout: duration,
-            timeout_position: timeout.position(),
+            timeout_range: timeout.range(),
             session_token,
             has_idempotency_key: self.idempotency_key.is_some(),
         })
