--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,83 +1,83 @@
-//! What the program that hosts the policy has to do.
+//! Actions: what a policy tells its host program to do.
 
 use super::{EndpointId, RequestId};
 use crate::time::{LocalInstant, Span};
 use std::fmt;
 
-/// Something to be done; the actions of one event are carried out in their order.
+/// An action for the host program. The actions that result from one event must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. The n-th one of a request has the number n, from 0, wherever attempts are numbered.
+    /// Start an attempt. The attempts of a request are numbered from 0, in the order of these actions.
     Send {
-        /// The request.
+        /// The request to send.
         id: RequestId,
-        /// Where to send it.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// The attempt must be answered within this time: before the client's deadline, and before repeats
-        /// are no longer dropped by their idempotency key.
+        /// Time limit for the answer. It ends no later than the client's deadline. For a retry that relies on
+        /// an idempotency key, it also ends before endpoints stop dropping duplicates of the key.
         timeout: Span,
     },
     /// Cancel an attempt.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// Number of the attempt.
+        /// The number of the attempt.
         attempt: usize,
     },
-    /// Final answer: rejected; a retry by the client is harmless.
+    /// Answer a request with a rejection, which is final. The client may safely retry it.
     Reject {
-        /// The request.
+        /// The rejected request.
         id: RequestId,
-        /// How long the client should wait before it retries, where that is advised.
+        /// How long the client should wait before a retry, if the answer is to say so.
         retry_after: Option<Span>,
     },
-    /// Final answer: failed; the request may have been executed.
+    /// Answer a request with a failure, which is final. The request may have been executed.
     Fail {
-        /// The request.
+        /// The failed request.
         id: RequestId,
     },
     /// Set a timer.
     SetTimer {
-        /// When it expires.
+        /// When the timer expires.
         at: LocalInstant,
-        /// The value that its [`Event::TimerExpired`](super::Event::TimerExpired) carries.
+        /// An opaque value that is passed back with [`Event::TimerExpired`](super::Event::TimerExpired).
         cookie: u64,
     },
     /// Send a health check to an endpoint.
     HealthCheck {
-        /// The endpoint.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
     /// Close the idle connections to an endpoint.
     CloseIdleConnections {
-        /// The endpoint.
+        /// The endpoint whose connections are closed.
         endpoint: EndpointId,
     },
-    /// Watch the endpoint list from now on.
+    /// Start to watch the endpoint list.
     Watch,
     /// Write a change of state to the operator's log.
     Log(StateChange),
 }
 
-/// A change of the policy's state that operators want to know of.
+/// A change of the policy's state that is relevant to operators. Its `Display` output is the log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// The watch of the endpoint list is lost; the list held so far stays in force.
+    /// The watch of the endpoint list was lost. The policy keeps using the last list that it received.
     WatchLost,
-    /// The endpoint list is watched again.
+    /// The watch of the endpoint list was restored.
     WatchRestored,
-    /// A group has another primary, or none that is known.
+    /// The primary of a group changed or became unknown.
     PrimaryChanged {
         /// The group.
         group: u32,
-        /// Its primary.
+        /// Its new primary; `None` if unknown.
         primary: Option<EndpointId>,
     },
-    /// An endpoint is ejected as an outlier.
+    /// An endpoint was ejected as an outlier.
     Ejected(EndpointId),
-    /// An ejected endpoint is used again.
+    /// An ejected endpoint was reinstated.
     Reinstated(EndpointId),
-    /// Requests are rejected because no usable endpoint can answer them in time.
+    /// The policy rejects requests because no usable endpoint is expected to answer them in time.
     SheddingLoad,
 }
 
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,66 +1,68 @@
-//! What the program that hosts the policy reports to it.
+//! Events: what the host program reports to a policy.
 
 use super::{Endpoint, EndpointId, LoadReport, Outcome, RequestId, Role, UpdateKind};
 use crate::time::{LogPosition, Span};
 use std::sync::Arc;
 
-/// A request as it was received from a client.
+/// A request as received from a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its identifier.
+    /// The identifier of the request.
     pub id: RequestId,
-    /// Its class, by number.
+    /// The index of its class in [`Settings::classes`](crate::settings::Settings::classes).
     pub class: usize,
-    /// The group that holds its data.
+    /// The group that stores its data.
     pub group: u32,
-    /// Time until the client stops waiting.
+    /// Time until the client gives up.
     pub timeout: Span,
-    /// Age of the session's last write, where the client carries it.
+    /// Age of the session's last write, if the client sent it.
     pub session_token_age: Option<Span>,
-    /// Its session.
+    /// The client session that it belongs to, if any.
     pub session: Option<Arc<str>>,
-    /// Its tenant, by number; a number that the settings do not have is not limited by a quota.
+    /// The index of its tenant in [`Settings::tenant_quotas`](crate::settings::Settings::tenant_quotas). No
+    /// quota applies to an index beyond the end.
     pub tenant: usize,
-    /// Predicted work, where known.
+    /// Predicted execution time on an endpoint, if known.
     pub predicted_work: Option<Span>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// Number of the attempt among those of the request, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether the request has had its final answer.
+    /// Whether the client already has the final answer to the request.
     pub request_finished: bool,
     /// Time since the attempt was sent.
     pub elapsed: Span,
-    /// Log position that came with the answer; for a write, its commit.
+    /// The log position in the answer, if any. For a write, this is the position of its commit.
     pub log_position: Option<LogPosition>,
-    /// Role that came with the answer.
+    /// The role in the answer, if any.
     pub role: Option<Role>,
-    /// The load report that came with the answer, if any.
+    /// The load report in the answer; empty if there was none.
     pub report: LoadReport,
 }
 
-/// Something that has happened.
+/// An event that the policy has to handle.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A call for the endpoint list failed or its watch broke: the list received so far stays in force.
+    /// A request for the endpoint list failed, or the watch was interrupted. The policy keeps using the last
+    /// list that it received.
     WatchFailed,
     /// The endpoint list was updated.
     EndpointsUpdated {
-        /// What the update contains.
+        /// Whether the update is a complete list or a delta.
         kind: UpdateKind,
-        /// Its entries.
+        /// The entries of the update.
         endpoints: Vec<Endpoint>,
     },
-    /// A client's request was received.
+    /// A request was received from a client.
     Request(Request),
     /// An attempt ended.
     AttemptFinished(AttemptResult),
@@ -70,33 +72,33 @@
         endpoint: EndpointId,
         /// How the check ended.
         outcome: Outcome,
-        /// What the endpoint reported.
+        /// The load report of the endpoint.
         report: LoadReport,
     },
-    /// A streamed response has begun: the policy has nothing more to decide about the request.
+    /// A streamed response has started. The policy takes no more decisions about the request.
     ResponseStarted {
-        /// The request.
+        /// The request that is being answered.
         id: RequestId,
     },
-    /// The client has disconnected, or has cancelled its request.
+    /// The client has disconnected or has cancelled its request.
     ClientDisconnected {
-        /// Its request.
+        /// The request of the client.
         id: RequestId,
     },
-    /// The process may be killed before the request is answered: it needs its final answer now.
+    /// The process may be killed before the request is answered: the request must get its final answer now.
     ShutdownImminent {
-        /// The request.
+        /// The request to end.
         id: RequestId,
     },
     /// A timer has expired.
     TimerExpired {
-        /// The cookie that it was set with.
+        /// The value that was passed to [`Action::SetTimer`](super::Action::SetTimer).
         cookie: u64,
     },
 }
 
 impl Event {
-    /// A plain request of the first tenant, without session or predicted work.
+    /// A request of the first tenant without a session or predicted work.
     pub fn request(id: &str, class: usize, group: u32, timeout: Span) -> Event {
         Event::Request(Request {
             id: id.into(),
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,8 +1,9 @@
-//! The messages between a [`Policy`](crate::Policy) and the program that hosts it: [`Event`]s go in and
-//! [`Action`]s come out. Types only: no decision is taken here.
+//! The interface between a [`Policy`](crate::Policy) and its host program: the host passes [`Event`]s to the
+//! policy and carries out the [`Action`]s that it returns. This module only defines types; it takes no
+//! decisions.
 //!
-//! The hosting program supplies the time with each event. Times on its own clock and on the clock of the
-//! database hosts are types of their own, see [`crate::time`].
+//! The host supplies the current time with each event. Times on the host's clock and on the clock of the
+//! endpoints have different types, see [`crate::time`].
 
 mod action;
 mod event;
@@ -16,33 +17,33 @@
 
 /// Identifies a request; opaque to the policy.
 pub type RequestId = Arc<str>;
-/// Identifies an endpoint, which is one database host; opaque to the policy.
+/// Identifies an endpoint, which is a single database host; opaque to the policy.
 pub type EndpointId = Arc<str>;
 
 /// The status of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// Accepts requests.
     #[default]
     Serving,
-    /// It completes the requests that it has and takes no new ones.
+    /// Completes the requests in flight and accepts no new ones.
     Draining,
-    /// It was removed from the list.
+    /// Was removed from the list.
     Removed,
 }
 
 /// The role of an endpoint in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum Role {
-    /// It takes writes.
+    /// Accepts writes.
     Primary,
-    /// It applies the log of the primary and takes reads.
+    /// Replays the log of the primary and accepts reads.
     #[default]
     Replica,
 }
 
 impl Role {
-    /// The role of an endpoint that is the primary, or is not.
+    /// Returns `Primary` if `is_primary` is true, and `Replica` otherwise.
     pub const fn primary_if(is_primary: bool) -> Role {
         if is_primary {
             Role::Primary
@@ -55,62 +56,64 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Its identifier.
+    /// The identifier of the endpoint.
     pub id: EndpointId,
-    /// The zone that it is in.
+    /// The zone in which the endpoint runs.
     pub zone: u32,
-    /// The group that it belongs to: one primary and its replicas.
+    /// The group that it belongs to, which consists of one primary and its replicas.
     pub group: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: EndpointStatus,
-    /// When it last started; `None` for long ago.
+    /// When it last started; `None` if that was long ago.
     pub started_at: Option<ClusterInstant>,
-    /// The role that the list gives it.
+    /// Its role according to the list.
     pub role: Role,
 }
 
 /// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The entries that have changed.
+    /// Only the entries that have changed.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as it was cached before a restart.
+    /// The complete list as cached before a restart.
     Cached,
 }
 
-/// What an endpoint reported about itself.
+/// The replication state that an endpoint reported. A field that is missing from the report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// The log position that it had applied.
+    /// The log position up to which it had applied the log.
     pub log_position: Option<LogPosition>,
-    /// The role that it had.
+    /// Its role.
     pub role: Option<Role>,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The endpoint served it.
+    /// The endpoint answered successfully.
     Success,
     /// The endpoint reported an error; the request may have been executed.
     Error,
-    /// The endpoint rejected it unexecuted: it is overloaded, draining, or out of connections.
+    /// The endpoint rejected it without executing it, because it is overloaded, draining or out of
+    /// connections.
     Overloaded,
-    /// No answer came in time; the request may have been executed.
+    /// No answer was received in time; the request may have been executed.
     Timeout,
-    /// The connection was not established, or was lost before the request was written; it was not executed.
+    /// The connection was not established, or was lost before the request was written; the request was not
+    /// executed.
     ConnectFailed,
-    /// The connection broke; the request may have been executed.
+    /// The connection was lost; the request may have been executed.
     ConnectionReset,
     /// The attempt was cancelled; the request may have been executed.
     Cancelled,
     /// The attempt was never sent.
     NotSent,
-    /// The endpoint rejected it unexecuted: it is not the primary, or its data is too old.
+    /// The endpoint rejected it without executing it, because it is not the primary or its data is too old.
     Ineligible,
-    /// The endpoint rejected it unexecuted as invalid; any other endpoint would do the same.
+    /// The endpoint rejected it as invalid without executing it; every other endpoint would do the same.
     InvalidRequest,
 }
 
@@ -127,7 +130,7 @@
         )
     }
 
-    /// Whether the endpoint answered, with any result.
+    /// Whether the endpoint answered, whatever the answer was.
     pub fn is_response(self) -> bool {
         matches!(
             self,
