--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -70,7 +70,7 @@
         list: &'static str,
     },
     /// The time after which endpoints close idle connections is out of range.
-    #[error("'keepalive' must be a finite time above 0")]
+    #[error("'keepalive' must be finite and greater than 0")]
     KeepaliveOutOfRange,
     /// The settings object cannot be decoded.
     #[error("in 'settings': {0}")]
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -258,6 +258,6 @@
 #[test]
 fn the_wait_for_recent_data_has_its_range() {
     let settings = |wait: f64| json!({"classes": [], "specifics": {"whenBehind": "wait", "wait": wait}});
-    assert_eq!(decode(&settings(-1.0)).unwrap_err(), "'specifics.wait' must be finite and not negative");
+    assert_eq!(decode(&settings(-1.0)).unwrap_err(), "'specifics.wait' must be finite and non-negative");
     assert!(decode(&settings(0.5)).is_ok());
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -53,12 +53,12 @@
 #[case("/limits", json!({"sockets": "1"}), "'sockets' is not a number")]
 #[case("/limits", json!({"memory_mb": "1"}), "'memory_mb' is not a number")]
 #[case("/settings/limits/keepalive", json!("1"), "'keepalive' is not a number")]
-#[case("/settings/limits/keepalive", json!(0), "'keepalive' must be a finite time above 0")]
+#[case("/settings/limits/keepalive", json!(0), "'keepalive' must be finite and greater than 0")]
 #[case("/settings/zones", json!(["here", 1]), "an entry of 'zones' has no name")]
 #[case("/settings/customers", json!([{}]), "an entry of 'customers' has no name")]
 #[case("/settings/classes", json!([{}]), "an entry of 'classes' has no name")]
 #[case("/settings/tick", json!("1"), "in 'settings': 'tick' is not a number")]
-#[case("/settings/tick", json!(0), "in 'settings': 'tick' must be a finite time above 0")]
+#[case("/settings/tick", json!(0), "in 'settings': 'tick' must be finite and greater than 0")]
 #[case("/settings/classes", json!(1), "in 'settings': 'classes' is not an array")]
 fn a_fault_of_a_configuration_is_named(#[case] pointer: &str, #[case] value: Value, #[case] message: &str) {
     assert_eq!(parse(&config_with(pointer, value)).unwrap_err(), message);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings that a [`Policy`](crate::Policy) is created with.
+//! The settings of a [`Policy`](crate::Policy).
 
 mod validation;
 
@@ -7,74 +7,74 @@
 
 use crate::time::Span;
 
-/// What happens when a request is executed more than once.
+/// The effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating the request is harmless.
+    /// Executing the request again has no further effect.
     Idempotent,
-    /// The request carries an idempotency key: repeats are dropped inside a [`DeduplicationScope`] for a
-    /// while.
+    /// The request carries an idempotency key: the endpoints of its [`DeduplicationScope`] drop duplicates
+    /// during [`RequestClass::deduplication_window`].
     IdempotencyKey,
-    /// A repeat may take effect twice.
+    /// Executing the request again may apply its effect twice.
     NonIdempotent,
 }
 
-/// The endpoints among which repeats of a request with an idempotency key are dropped.
+/// The endpoints that together drop duplicates of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// Every endpoint of the fleet.
+    /// All endpoints.
     AnyEndpoint,
     /// The endpoints of the request's group.
     Group,
 }
 
-/// How recent the data behind an answer must be.
+/// The consistency level of a request class: how recent the data of an answer must be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Consistency {
-    /// Not a read: only the primary takes it.
+    /// The request is a write, which only the primary executes.
     Write,
-    /// The read must see every commit from before it was received.
+    /// The read must see every commit that precedes its arrival at the pooler.
     Strong,
-    /// The read must see its session's own writes.
+    /// The read must see the previous writes of its own session (read your writes).
     Session,
-    /// The data may be at most this old when the request is sent.
+    /// The data may be at most this old at the time the request is sent.
     BoundedStaleness(Span),
-    /// Any endpoint may answer.
+    /// Any endpoint may answer, however old its data is.
     Eventual,
 }
 
-/// A class of requests, with what its clients expect.
+/// A class of requests that have the same requirements.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// An answer within this time has the full priority weight.
+    /// An answer within this time counts with the full priority weight.
     pub latency_objective: Span,
-    /// The latency objective grows by this multiple of the request's predicted work.
+    /// The latency objective is extended by the request's predicted work times this factor.
     pub latency_objective_factor: f64,
-    /// How long a client waits at most.
+    /// How long a client waits for an answer.
     pub deadline: Span,
-    /// How long repeats with the same idempotency key are dropped.
+    /// How long duplicates with the same idempotency key are dropped.
     pub deduplication_window: Span,
-    /// What a repeated execution can do.
+    /// The effect of executing a request more than once.
     pub idempotency: Idempotency,
-    /// Where repeats are dropped.
+    /// Which endpoints drop duplicates.
     pub deduplication_scope: DeduplicationScope,
-    /// Share of the priority weight that an answer after the latency objective still has; 0 if it is of no
-    /// use.
+    /// Share of the priority weight with which an answer after the latency objective counts; 0 if late
+    /// answers are of no use.
     pub late_weight: f64,
-    /// Weight of one answer, relative to the other classes: under overload, requests of less weight are
+    /// Weight of an answer, relative to other classes. Under overload, requests with a lower weight are
     /// rejected first.
     pub priority_weight: f64,
-    /// How recent the data must be.
+    /// How recent the data of an answer must be.
     pub consistency: Consistency,
 }
 
 impl RequestClass {
-    /// Whether its requests modify data.
+    /// Whether requests of the class modify data.
     pub fn is_write(&self) -> bool {
         self.consistency == Consistency::Write
     }
 
-    /// How old the data may be, where its reads are bounded.
+    /// How old the data may be, if the class has [`Consistency::BoundedStaleness`].
     pub fn staleness_bound(&self) -> Option<Span> {
         match self.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether only the primary can answer its requests.
+    /// Whether only the primary can answer requests of the class.
     pub fn needs_primary(&self) -> bool {
         matches!(self.consistency, Consistency::Write | Consistency::Strong)
     }
@@ -104,77 +104,81 @@
     }
 }
 
-/// What an endpoint does with a read for which its data is too old.
+/// How an endpoint handles a read for which its data is too old.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StaleReadHandling {
-    /// It answers from what it has.
+    /// It answers with the data that it has.
     Serve,
-    /// It rejects the read without executing it, at once or after it has waited to catch up.
+    /// It rejects the read without executing it, at once or after it has waited for replication to catch up.
     Reject,
 }
 
 impl StaleReadHandling {
-    /// Whether endpoints themselves reject reads for which their data is too old.
+    /// Whether endpoints reject reads for which their data is too old.
     pub fn rejects_stale_reads(self) -> bool {
         self != StaleReadHandling::Serve
     }
 }
 
-/// Everything that a policy needs to know when it is created.
+/// The settings of a policy. [`Policy::new`](crate::Policy::new) checks their ranges.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Request classes, by number.
+    /// The request classes. Requests refer to them by index.
     pub classes: Vec<RequestClass>,
-    /// Requests per second within each tenant's quota, over all poolers; `None` for a tenant without a limit.
+    /// The quota of each tenant in requests per second over all poolers; `None` for a tenant without a limit.
+    /// Requests refer to tenants by index.
     pub tenant_quotas: Vec<Option<f64>>,
-    /// Weight of a request beyond its tenant's quota, relative to one within it.
+    /// Weight of a request that exceeds its tenant's quota, relative to a request within the quota.
     pub over_quota_weight: f64,
-    /// How many poolers share the endpoints.
+    /// Number of poolers that share the endpoints.
     pub pooler_count: u32,
-    /// The pooler's own zone.
+    /// The zone in which the pooler runs.
     pub zone: u32,
-    /// Whether the pooler reads the same clock as the endpoints. A machine's own clock may be wrong.
+    /// Whether the pooler's clock is the clock of the endpoints. This holds in the simulator only: the clocks
+    /// of real machines may be wrong.
     pub shares_endpoint_clock: bool,
-    /// Granularity of time: events may be handled this much late. A request gets its final answer at least
+    /// Timer resolution: events may be handled this much too late. A request gets its final answer at least
     /// this long before its deadline.
     pub tick: Span,
-    /// Whether health checks are allowed and their reports carry a log position or a role.
+    /// Whether health checks are allowed and their answers report a log position or a role.
     pub health_checks: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether one request may have two attempts in flight.
+    /// Whether hedged requests are allowed: two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// Most attempts for a request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Whether rejections may carry a Retry-After.
+    /// Whether rejections may advise the client to wait before it retries (Retry-After).
     pub send_retry_after: bool,
     /// Longest Retry-After that a client honours.
     pub max_retry_after: Span,
-    /// A connection that is not established within this time fails.
+    /// Time limit for establishing a connection to an endpoint.
     pub connect_timeout: Span,
-    /// Whether the endpoint list has to be watched, rather than being pushed unasked.
+    /// Whether the policy has to request a watch of the endpoint list; otherwise updates arrive without one.
     pub watch_endpoints: bool,
-    /// Longest time that may pass without a watch or a call for the endpoint list.
+    /// Longest time that may pass without an open watch of the endpoint list or a request for one.
     pub max_watch_gap: Span,
-    /// A starting endpoint has at least this share of its capacity.
+    /// Share of its full capacity that an endpoint has immediately after it starts.
     pub initial_capacity: f64,
-    /// A starting endpoint has its full capacity after this time.
+    /// Time after its start at which an endpoint reaches its full capacity.
     pub slow_start_window: Span,
-    /// An endpoint in slow start collapses if its load exceeds this multiple of its present capacity
-    /// throughout [`overload_window`](Self::overload_window); `None` if it withstands any load.
+    /// An endpoint in slow start collapses if its load stays above this multiple of its current capacity for
+    /// the whole [`overload_window`](Self::overload_window); `None` if it withstands any load.
     pub overload_limit: Option<f64>,
     /// How long an endpoint in slow start withstands a load above [`overload_limit`](Self::overload_limit).
     pub overload_window: Span,
-    /// Only an announced drain is binding; an endpoint that merely disappeared may still be used.
+    /// Whether an endpoint that was removed from the endpoint list without an announced drain may still be
+    /// used.
     pub removal_is_advisory: bool,
-    /// What endpoints do with reads for which their data is too old.
+    /// How endpoints handle reads for which their data is too old.
     pub stale_reads: StaleReadHandling,
-    /// Whether session reads carry the age of the session's last write; otherwise the pooler remembers it.
+    /// Whether reads with session consistency carry the age of the session's last write; otherwise the pooler
+    /// keeps track of it.
     pub session_tokens_carried: bool,
 }
 
 impl Settings {
-    /// How many attempts of one request may be in flight at a time.
+    /// Maximum number of attempts of one request that may be in flight at the same time.
     pub fn max_attempts_in_flight(&self) -> usize {
         if self.hedging {
             2
@@ -188,13 +192,13 @@
         self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Capacity of an endpoint so long after its start, as a share of its full one.
+    /// Share of its full capacity that an endpoint has at this uptime. It grows linearly during slow start.
     pub fn capacity_at_uptime(&self, uptime: Span) -> f64 {
         if uptime >= self.slow_start_window {
             return 1.0;
         }
-        let warmed_up = (uptime / self.slow_start_window).max(0.0);
-        self.initial_capacity + (1.0 - self.initial_capacity) * warmed_up
+        let progress = (uptime / self.slow_start_window).max(0.0);
+        self.initial_capacity + (1.0 - self.initial_capacity) * progress
     }
 }
 
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -1,21 +1,21 @@
-//! Validation: rejects settings that are out of range before a policy uses them.
+//! Validation of the settings: values out of range are rejected before a policy uses them.
 
 use super::{Consistency, RequestClass, Settings};
 use crate::time::Span;
 
-/// A setting that is out of its range.
+/// A setting is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("'{field}' must be {must}")]
+#[error("'{field}' must be {requirement}")]
 pub struct SettingsError {
-    /// The setting, by its path in the settings object of a configuration file.
+    /// The path of the setting in the settings object of a configuration file.
     pub field: String,
-    /// What it must be.
-    pub must: &'static str,
+    /// The range that the setting must be in.
+    pub requirement: &'static str,
 }
 
-const POSITIVE_TIME: &str = "a finite time above 0";
-const NON_NEGATIVE: &str = "finite and not negative";
-const SHARE: &str = "from 0 to 1";
+const POSITIVE_TIME: &str = "finite and greater than 0";
+const NON_NEGATIVE: &str = "finite and non-negative";
+const SHARE: &str = "between 0 and 1";
 
 fn is_positive_time(time: Span) -> bool {
     time.as_secs().is_finite() && time.as_secs() > 0.0
@@ -40,7 +40,7 @@
         require(
             quota.is_none_or(|quota| quota >= 0.0),
             || format!("customers[{index}].quotaPerS"),
-            "not negative",
+            "non-negative",
         )?;
     }
     for (index, class) in settings.classes.iter().enumerate() {
@@ -52,8 +52,8 @@
 fn validate_general(settings: &Settings) -> Result<(), SettingsError> {
     let s = settings;
     let initial_capacity_in_range = s.initial_capacity > 0.0 && is_share(s.initial_capacity);
-    for (in_range, field, must) in [
-        (!s.classes.is_empty(), "classes", "at least one class"),
+    for (in_range, field, requirement) in [
+        (!s.classes.is_empty(), "classes", "a non-empty array"),
         (s.pooler_count > 0, "fleetSize", "at least 1"),
         (s.max_attempts > 0, "limits.maxAttempts", "at least 1"),
         (is_positive_time(s.tick), "tick", POSITIVE_TIME),
@@ -62,11 +62,11 @@
         (is_positive_time(s.overload_window), "invariants.fall", POSITIVE_TIME),
         (is_non_negative_time(s.slow_start_window), "invariants.warmUp", NON_NEGATIVE),
         (is_non_negative_time(s.max_retry_after), "limits.maxRetryAfter", NON_NEGATIVE),
-        (initial_capacity_in_range, "invariants.coldFrom", "above 0 and at most 1"),
-        (s.overload_limit.is_none_or(|limit| limit > 0.0), "invariants.tipMultiple", "above 0"),
+        (initial_capacity_in_range, "invariants.coldFrom", "greater than 0 and at most 1"),
+        (s.overload_limit.is_none_or(|limit| limit > 0.0), "invariants.tipMultiple", "greater than 0"),
         (is_share(s.over_quota_weight), "overShareWorth", SHARE),
     ] {
-        require(in_range, || field.to_string(), must)?;
+        require(in_range, || field.to_string(), requirement)?;
     }
     Ok(())
 }
@@ -76,7 +76,7 @@
         Consistency::BoundedStaleness(bound) => is_non_negative_time(bound),
         Consistency::Write | Consistency::Strong | Consistency::Session | Consistency::Eventual => true,
     };
-    for (in_range, field, must) in [
+    for (in_range, field, requirement) in [
         (is_positive_time(class.latency_objective), "aim", POSITIVE_TIME),
         (is_positive_time(class.deadline), "deadline", POSITIVE_TIME),
         (is_non_negative(class.latency_objective_factor), "aimStretch", NON_NEGATIVE),
@@ -84,19 +84,23 @@
         (is_share(class.late_weight), "lateWorth", SHARE),
         (is_non_negative(class.priority_weight), "value", NON_NEGATIVE),
     ] {
-        require(in_range, || format!("classes[{index}].{field}"), must)?;
+        require(in_range, || format!("classes[{index}].{field}"), requirement)?;
     }
     require(staleness_in_range, || format!("specifics.stalenessBound[{index}]"), NON_NEGATIVE)
 }
 
-/// Checks a number that no rule reads, but that has a range all the same.
+/// Checks a number that the policy does not use, but whose range is checked all the same.
 pub(crate) fn require_non_negative(number: f64, field: &str) -> Result<(), SettingsError> {
     require(is_non_negative(number), || field.to_string(), NON_NEGATIVE)
 }
 
-fn require(in_range: bool, field: impl FnOnce() -> String, must: &'static str) -> Result<(), SettingsError> {
+fn require(
+    in_range: bool,
+    field: impl FnOnce() -> String,
+    requirement: &'static str,
+) -> Result<(), SettingsError> {
     if in_range {
         return Ok(());
     }
-    Err(SettingsError { field: field(), must })
+    Err(SettingsError { field: field(), requirement })
 }
