--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration cannot be used.
+//! Errors of the configuration file.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,73 +9,63 @@
 use crate::settings::SettingsError;
 use crate::transient_error::is_transient;
 
-/// Why a configuration file cannot be used. The message names the file and the cause.
+/// The configuration file cannot be used. The message names the file and the cause.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigError {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[error("{}: {source}", path.display())]
-    Read {
-        /// The path of the file.
-        path: PathBuf,
-        /// What went wrong.
-        source: io::Error,
-    },
-    /// The text of the file is not a usable configuration.
+    Read { path: PathBuf, source: io::Error },
+    /// The text of the file is not a valid configuration.
     #[error("{}: {source}", path.display())]
-    Parse {
-        /// The path of the file.
-        path: PathBuf,
-        /// What is wrong with the text.
-        source: ParseConfigError,
-    },
+    Parse { path: PathBuf, source: ParseConfigError },
 }
 
 impl ConfigError {
-    /// Whether reading the file again may succeed.
+    /// Whether another attempt to read the file may succeed.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Read { source, .. } if is_transient(source))
     }
 }
 
-/// Why the text of a configuration file cannot be used.
+/// The text of a configuration file is not a valid configuration.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ParseConfigError {
-    /// The text is not acceptable as JSON.
+    /// The text is not valid JSON or is nested too deeply.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// A number has the wrong type.
+    /// A field that must be a number has another type.
     #[error(transparent)]
     NotANumber(#[from] NotANumber),
-    /// A required text is missing or has the wrong type.
-    #[error("'{field}' is not a text")]
-    NotText {
-        /// The name of the field.
+    /// A required string is missing or has another type.
+    #[error("'{field}' is not a string")]
+    NotAString {
+        /// The key of the field.
         field: &'static str,
     },
-    /// An address cannot be read.
-    #[error("'{field}' is not an address with a port: '{text}'")]
+    /// A string is not an IP address with a port.
+    #[error("'{field}' is not an IP address with a port: '{text}'")]
     NotAnAddress {
-        /// The name of the field.
+        /// The key of the field.
         field: &'static str,
-        /// The text in place of an address.
+        /// The value of the field.
         text: String,
     },
-    /// The seed cannot be read.
-    #[error("'seed' is not hexadecimal: '{0}'")]
-    SeedNotHexadecimal(String),
-    /// An entry of a list of the settings has no name.
+    /// The seed is not a 64-bit number in hexadecimal digits.
+    #[error("'seed' is not a 64-bit hexadecimal number: '{0}'")]
+    InvalidSeed(String),
+    /// An entry of an array in the settings object has no name.
     #[error("an entry of '{list}' has no name")]
-    Unnamed {
-        /// The name of the list.
+    MissingName {
+        /// The key of the array.
         list: &'static str,
     },
-    /// The time after which endpoints close idle connections is out of range.
+    /// The keepalive timeout is out of range.
     #[error("'keepalive' must be finite and greater than 0")]
     KeepaliveOutOfRange,
-    /// The settings object cannot be decoded.
+    /// The settings object is invalid.
     #[error("in 'settings': {0}")]
     Settings(#[from] DecodeSettingsError),
-    /// A setting is out of its range.
+    /// A setting is out of range.
     #[error("in 'settings': {0}")]
     SettingOutOfRange(#[from] SettingsError),
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the pooler: its JSON form, its defaults and its errors.
+//! The configuration file of the pooler: its JSON format, defaults and errors.
 
 mod error;
 mod names;
@@ -22,46 +22,45 @@
 use settings::RawSettings;
 pub use settings::{decode_settings, DecodeSettingsError};
 
-/// The name of a pooler whose configuration has none.
+/// The default of `name`.
 const DEFAULT_NAME: &str = "pg-pooler";
-/// The default of `limits.sockets` (file descriptors).
+/// The default of `limits.sockets`, in file descriptors.
 const DEFAULT_MAX_DESCRIPTORS: f64 = 1024.0;
-/// The default of `limits.memory_mb` (megabytes).
+/// The default of `limits.memory_mb`, in megabytes.
 const DEFAULT_MAX_MEMORY_MB: f64 = 192.0;
 const BYTES_PER_MB: f64 = 1e6;
-/// The seed is a hexadecimal number.
 const SEED_RADIX: u32 = 16;
 
-/// The configuration of one pooler.
+/// The configuration of a pooler.
 #[derive(Clone, Debug)]
 pub(crate) struct Config {
-    /// The pooler's name, for the log.
+    /// The name of the pooler, which is written to the log.
     pub name: String,
-    /// The address on which the pooler accepts clients.
+    /// The address on which the pooler accepts client connections.
     pub listen: SocketAddr,
     /// The address of service discovery.
     pub discovery: SocketAddr,
-    /// Seed for random numbers; new with each start.
+    /// The seed for random numbers, which has to be a new one at each start.
     pub seed: u64,
-    /// Most file descriptors that the process may have open.
+    /// Maximum number of file descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// Most memory that the process may take (bytes).
+    /// Maximum memory that the process may use, in bytes.
     pub max_memory: usize,
     /// The settings of the policy.
     pub settings: Settings,
-    /// Names of the classes, in the order of the settings.
+    /// The names of the request classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Names of the tenants, in the order of the settings.
+    /// The names of the tenants, in the order of the settings.
     pub tenants: Vec<String>,
-    /// Names of the zones, in the order of the settings.
+    /// The names of the zones, in the order of the settings.
     pub zones: Vec<String>,
-    /// After what time an endpoint closes an idle connection (seconds).
+    /// Time after which an endpoint closes an idle connection, in seconds.
     pub keepalive_timeout: f64,
-    /// The endpoint list as the file caches it, for the time until discovery answers.
+    /// The endpoint list that the file caches, which is used until service discovery answers.
     pub cached_list: EndpointList,
 }
 
-/// The configuration file in its JSON form.
+/// The JSON format of the configuration file.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 struct RawConfig {
@@ -75,9 +74,9 @@
     seed: Option<String>,
     #[serde(deserialize_with = "lenient::value")]
     limits: RawProcessLimits,
-    /// Decoded twice: as settings and as lists of names.
+    /// Decoded twice: as [`RawSettings`] and as [`RawNames`].
     settings: Value,
-    /// The cached list. One that cannot be read counts as empty: discovery has a new one.
+    /// The cached endpoint list. An invalid list counts as empty, because discovery will supply a new one.
     #[serde(deserialize_with = "lenient::value")]
     known: EndpointList,
 }
@@ -93,7 +92,7 @@
 impl Config {
     /// Reads a configuration file.
     ///
-    /// Fails if the file cannot be read, or as [`Config::parse`] does.
+    /// Fails if the file cannot be read or if [`Config::parse`] fails.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigError::Read { path: path.to_path_buf(), source })?;
@@ -102,7 +101,8 @@
 
     /// Decodes the text of a configuration file.
     ///
-    /// Fails if it is not JSON, lacks a required field, or has a field of the wrong type or range.
+    /// Fails if the text is not JSON, a required field is missing, or a field has the wrong type or is out of
+    /// range.
     pub fn parse(text: &str) -> Result<Config, ParseConfigError> {
         lenient::or_default::<RawConfig>(json::parse(text)?).decode()
     }
@@ -110,12 +110,12 @@
 
 impl RawConfig {
     fn decode(self) -> Result<Config, ParseConfigError> {
-        let seed = require_text("seed", self.seed)?;
+        let seed = require_string("seed", self.seed)?;
         let names: RawNames = lenient::or_default(self.settings.clone());
         let raw_settings: RawSettings = lenient::or_default(self.settings);
         let settings = decode_valid_settings(&raw_settings)?;
         Ok(Config {
-            keepalive_timeout: decode_keepalive(&raw_settings)?,
+            keepalive_timeout: decode_keepalive_timeout(&raw_settings)?,
             name: self.name.unwrap_or_else(|| DEFAULT_NAME.to_string()),
             listen: decode_address("listen", self.listen)?,
             discovery: decode_address("discovery", self.discovery)?,
@@ -132,45 +132,45 @@
 }
 
 impl RawProcessLimits {
-    /// Most file descriptors that the process may have open.
+    /// Maximum number of file descriptors that the process may have open.
     fn max_descriptors(&self) -> Result<usize, NotANumber> {
         Ok(self.sockets.or("sockets", DEFAULT_MAX_DESCRIPTORS)? as usize)
     }
 
-    /// Most memory that the process may take (bytes).
+    /// Maximum memory that the process may use, in bytes.
     fn max_memory(&self) -> Result<usize, NotANumber> {
         Ok((self.memory_mb.or("memory_mb", DEFAULT_MAX_MEMORY_MB)? * BYTES_PER_MB) as usize)
     }
 }
 
-fn require_text(field: &'static str, text: Option<String>) -> Result<String, ParseConfigError> {
-    text.ok_or(ParseConfigError::NotText { field })
+fn require_string(field: &'static str, text: Option<String>) -> Result<String, ParseConfigError> {
+    text.ok_or(ParseConfigError::NotAString { field })
 }
 
 fn decode_address(field: &'static str, text: Option<String>) -> Result<SocketAddr, ParseConfigError> {
-    let text = require_text(field, text)?;
+    let text = require_string(field, text)?;
     text.parse().map_err(|_| ParseConfigError::NotAnAddress { field, text })
 }
 
 fn decode_seed(text: String) -> Result<u64, ParseConfigError> {
-    u64::from_str_radix(&text, SEED_RADIX).map_err(|_| ParseConfigError::SeedNotHexadecimal(text))
+    u64::from_str_radix(&text, SEED_RADIX).map_err(|_| ParseConfigError::InvalidSeed(text))
 }
 
-/// Decodes the settings, checks their ranges and sets what differs from the simulator.
+/// Decodes the settings, replaces those that hold in the simulator only, and checks the ranges.
 fn decode_valid_settings(raw: &RawSettings) -> Result<Settings, ParseConfigError> {
     let mut settings = raw.decode()?;
-    // A real discovery service sends nothing that is not requested, whichever mode the settings name.
+    // Service discovery sends updates only while it is watched, whatever `registryMode` says.
     settings.watch_endpoints = true;
-    // Only the simulator has one clock for all. The clock of a real machine may be wrong.
+    // Pooler and endpoints share a clock only in the simulator. The clock of a real machine may be wrong.
     settings.shares_endpoint_clock = false;
     crate::settings::validate(&settings)?;
     Ok(settings)
 }
 
-fn decode_keepalive(raw: &RawSettings) -> Result<f64, ParseConfigError> {
-    let keepalive = raw.keepalive()?;
-    if keepalive > 0.0 && keepalive.is_finite() {
-        return Ok(keepalive);
+fn decode_keepalive_timeout(raw: &RawSettings) -> Result<f64, ParseConfigError> {
+    let timeout = raw.keepalive_timeout()?;
+    if timeout > 0.0 && timeout.is_finite() {
+        return Ok(timeout);
     }
     Err(ParseConfigError::KeepaliveOutOfRange)
 }
--- a/src/config/names.rs
+++ b/src/config/names.rs
@@ -1,12 +1,12 @@
-//! The names that the settings object gives to classes, tenants and zones. Queries and endpoint lists use
-//! these names; the policy uses the numbers.
+//! The names of classes, tenants and zones in the settings object. Queries and endpoint lists refer to them
+//! by name, the policy by index.
 
 use serde::Deserialize;
 
 use super::ParseConfigError;
 use crate::json::lenient;
 
-/// The lists of the settings object whose entries have names.
+/// The arrays of the settings object whose entries have names.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(super) struct RawNames {
@@ -18,31 +18,30 @@
     zones: Option<Vec<RawName>>,
 }
 
-/// The name of an entry; `None` where the entry has none.
+/// An entry; `None` if it has no name.
 type RawName = Option<NamedEntry>;
 
-/// An entry that has a name.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum NamedEntry {
-    /// The entry is only a name.
+    /// The entry is the name itself.
     Name(String),
-    /// The entry is an object that has a name.
+    /// The entry is an object with the field `name`.
     Object { name: String },
 }
 
 impl RawNames {
-    /// The names of the request classes, in their order.
+    /// Returns the names of the request classes in their order.
     pub(super) fn classes(&self) -> Result<Vec<String>, ParseConfigError> {
         decode_names("classes", self.classes.as_deref())
     }
 
-    /// The names of the tenants, in their order.
+    /// Returns the names of the tenants in their order.
     pub(super) fn tenants(&self) -> Result<Vec<String>, ParseConfigError> {
         decode_names("customers", self.customers.as_deref())
     }
 
-    /// The names of the zones, in their order.
+    /// Returns the names of the zones in their order.
     pub(super) fn zones(&self) -> Result<Vec<String>, ParseConfigError> {
         decode_names("zones", self.zones.as_deref())
     }
@@ -54,7 +53,7 @@
         .iter()
         .map(|entry| match entry {
             Some(NamedEntry::Name(name) | NamedEntry::Object { name }) => Ok(name.clone()),
-            None => Err(ParseConfigError::Unnamed { list }),
+            None => Err(ParseConfigError::MissingName { list }),
         })
         .collect()
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,6 +1,8 @@
-//! The settings object in its JSON form, the only place that knows its names, and its conversion to
-//! [`Settings`]. Unknown fields are ignored, absent ones have defaults. A field of the wrong type reads as
-//! absent, except a number, which must be one.
+//! The JSON format of the settings object and its conversion to [`Settings`]. No other module reads its
+//! fields, except for the names of classes, tenants and zones.
+//!
+//! Unknown fields are ignored, and absent fields have defaults. A field of the wrong type is treated as
+//! absent, unless it must be a number: then the wrong type is an error.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -14,33 +16,34 @@
 };
 use crate::time::Span;
 
-/// Why a settings object cannot be decoded.
+/// The settings object is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeSettingsError {
-    /// The object is not acceptable as JSON.
+    /// The object is nested too deeply.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// A number has the wrong type.
+    /// A field that must be a number has another type.
     #[error(transparent)]
     NotANumber(#[from] NotANumber),
-    /// A setting is out of its range.
+    /// A setting is out of range.
     #[error(transparent)]
     OutOfRange(#[from] SettingsError),
-    /// There are no request classes.
+    /// The array of request classes is missing or has another type.
     #[error("'classes' is not an array")]
-    NoClasses,
-    /// There is not exactly one consistency level for each request class.
+    MissingClasses,
+    /// The number of consistency levels is not the number of request classes.
     #[error("'classes' and 'consistency' differ in length")]
-    ConsistencyCount,
+    ConsistencyLengthMismatch,
 }
 
-/// Decodes the settings from the settings object.
+/// Decodes the settings from the settings object. Most ranges are not checked here, but by
+/// [`Policy::new`](crate::Policy::new).
 pub fn decode_settings(settings: &Value) -> Result<Settings, DecodeSettingsError> {
     json::check_depth(settings)?;
     lenient::or_default::<RawSettings>(settings.clone()).decode()
 }
 
-/// The settings object.
+/// The JSON format of the settings object.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub(super) struct RawSettings {
@@ -87,7 +90,7 @@
     quota_per_s: Number,
 }
 
-/// The object `loadInfo`: how endpoints report their load.
+/// The object `loadInfo`: how endpoints send load reports, and the fields of the reports.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct RawLoadInfo {
@@ -97,7 +100,7 @@
     fields: Option<Vec<Option<String>>>,
 }
 
-/// The object `limits`: what the pooler may do.
+/// The object `limits`: what the pooler may do, such as retries and health checks, and how often or how long.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct RawLimits {
@@ -115,7 +118,7 @@
     keepalive: Number,
 }
 
-/// The object `invariants`: what holds of every endpoint.
+/// The object `invariants`: properties of the endpoints and of the endpoint list.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct RawInvariants {
@@ -128,7 +131,7 @@
     gone_is_advice: bool,
 }
 
-/// The object `specifics`: what holds of replicated databases.
+/// The object `specifics`: properties of replicated databases.
 #[derive(Default, Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 struct RawSpecifics {
@@ -144,12 +147,12 @@
 }
 
 impl RawSettings {
-    /// How long an endpoint keeps an idle connection (seconds).
-    pub(super) fn keepalive(&self) -> Result<f64, NotANumber> {
+    /// Returns the time after which an endpoint closes an idle connection, in seconds.
+    pub(super) fn keepalive_timeout(&self) -> Result<f64, NotANumber> {
         self.limits.keepalive.or("keepalive", 15.0)
     }
 
-    /// Converts the object to settings, of which the ranges are not checked.
+    /// Converts the object to settings. Ranges are not checked, except that of the unused field `wait`.
     pub(super) fn decode(&self) -> Result<Settings, DecodeSettingsError> {
         let (limits, invariants, specifics) = (&self.limits, &self.invariants, &self.specifics);
         Ok(Settings {
@@ -160,7 +163,7 @@
             zone: self.zone.or("zone", 0.0)? as u32,
             shares_endpoint_clock: true,
             tick: span(self.tick, "tick", 0.005)?,
-            health_checks: limits.probes && self.load_info.is_useful(),
+            health_checks: limits.probes && self.load_info.reports_replication_state(),
             cancellation: limits.cancel,
             hedging: limits.may_duplicate,
             max_attempts: limits.max_attempts.or("maxAttempts", 1.0)? as u32,
@@ -179,15 +182,15 @@
         })
     }
 
-    /// Joins the classes with their consistency levels, which stand in an array of their own.
+    /// Combines the classes with their consistency levels, which are in an array of their own.
     fn decode_classes(&self) -> Result<Vec<RequestClass>, DecodeSettingsError> {
-        let classes = self.classes.as_deref().ok_or(DecodeSettingsError::NoClasses)?;
+        let classes = self.classes.as_deref().ok_or(DecodeSettingsError::MissingClasses)?;
         let levels = self.specifics.consistency.as_deref().unwrap_or_default();
         if classes.len() != levels.len() {
-            return Err(DecodeSettingsError::ConsistencyCount);
+            return Err(DecodeSettingsError::ConsistencyLengthMismatch);
         }
-        let joined = classes.iter().zip(levels).enumerate();
-        joined
+        let pairs = classes.iter().zip(levels).enumerate();
+        pairs
             .map(|(index, (class, level))| {
                 let staleness_bound = self.specifics.staleness_bound_of(index);
                 Ok(class.decode(decode_consistency(level.as_deref(), staleness_bound))?)
@@ -231,24 +234,24 @@
 }
 
 impl RawLoadInfo {
-    /// Whether the answer to a health check tells a log position or a role. Health checks are of no use
-    /// otherwise.
-    fn is_useful(&self) -> bool {
-        let names_useful_field = |fields: &[Option<String>]| {
+    /// Whether the answer to a health check contains a log position or a role. Without either, health checks
+    /// are of no use.
+    fn reports_replication_state(&self) -> bool {
+        let has_either_field = |fields: &[Option<String>]| {
             fields.iter().any(|field| matches!(field.as_deref(), Some(LOG_POSITION_FIELD | PRIMARY_FIELD)))
         };
-        self.how.as_deref() != Some("silent") && self.fields.as_deref().is_none_or(names_useful_field)
+        self.how.as_deref() != Some("silent") && self.fields.as_deref().is_none_or(has_either_field)
     }
 }
 
 impl RawSpecifics {
-    /// The staleness bound of a class; zero where there is none.
+    /// Returns the staleness bound of a class, or zero if it has none.
     fn staleness_bound_of(&self, class: usize) -> Span {
         let bounds = self.staleness_bound.as_deref().unwrap_or_default();
         Span::from_secs(bounds.get(class).copied().flatten().unwrap_or(0.0))
     }
 
-    /// No rule depends on how long an endpoint waits: the time is only checked.
+    /// The policy does not use how long an endpoint waits for recent data, but the value is checked.
     fn decode_stale_reads(&self) -> Result<StaleReadHandling, DecodeSettingsError> {
         match self.when_behind.as_deref() {
             Some("refuse") => Ok(StaleReadHandling::Reject),
@@ -262,12 +265,12 @@
     }
 }
 
-/// A time that is given in seconds; `default` where it is absent.
+/// Converts a number of seconds to a span; `default` is used if the number is absent.
 fn span(number: Number, field: &'static str, default: f64) -> Result<Span, NotANumber> {
     Ok(Span::from_secs(number.or(field, default)?))
 }
 
-/// A number that may be absent.
+/// Returns the number, or `None` if it is absent.
 fn optional(number: Number, field: &'static str) -> Result<Option<f64>, NotANumber> {
     Ok(Some(number.or(field, f64::INFINITY)?).filter(|number| number.is_finite()))
 }
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -4,12 +4,12 @@
 use super::*;
 use crate::time::tests::secs;
 
-/// Decodes a settings object; the error is its message.
+/// Decodes a settings object. An error is returned as its message.
 fn decode(settings: &Value) -> Result<Settings, String> {
     decode_settings(settings).map_err(|error| error.to_string())
 }
 
-/// Decodes a settings object of one class.
+/// Decodes a settings object with a single class, and returns the class.
 fn decode_class(class: Value) -> Result<RequestClass, String> {
     let settings = decode(&json!({"classes": [class], "specifics": {"consistency": ["any"]}}))?;
     Ok(settings.classes[0].clone())
@@ -79,12 +79,12 @@
 #[case::arrays_of_a_wrong_type(json!({"classes": [], "customers": {}, "specifics": {"stalenessBound": 3}}))]
 #[case::unknown_texts(json!({"classes": [], "registryMode": "pull", "specifics": {"whenBehind": "silent"}}))]
 #[case::unused_number(json!({"classes": [], "specifics": {"wait": "soon"}}))]
-fn what_says_nothing_reads_as_the_defaults(#[case] settings: Value) {
+fn absent_and_invalid_fields_have_defaults(#[case] settings: Value) {
     assert_same(&decode(&settings).unwrap(), &default_settings());
 }
 
 #[test]
-fn every_setting_has_its_name() {
+fn every_field_is_decoded() {
     let settings = json!({
         "classes": [
             {"aim": 2, "aimStretch": 0.5, "deadline": 3, "dedupWindow": 4, "lateWorth": 0.25, "value": 5,
@@ -156,7 +156,7 @@
 #[case::texts_of_a_wrong_type(json!({"effect": 1, "group": {"all": null}}))]
 #[case::unknown_texts(json!({"effect": "odd", "group": "odd"}))]
 #[case::key_within_a_zone(json!({"effect": "idempotency_key", "group": "zone"}))]
-fn a_class_that_says_nothing_has_the_defaults(#[case] class: Value) {
+fn absent_and_invalid_fields_of_a_class_have_defaults(#[case] class: Value) {
     assert_same(&decode_class(class).unwrap(), &default_class());
 }
 
@@ -243,20 +243,20 @@
 #[case::log_position(json!({"fields": [1, "x0"]}), true)]
 #[case::other_fields(json!({"fields": ["x2"]}), false)]
 #[case::silent(json!({"how": "silent", "fields": ["x0"]}), false)]
-fn health_checks_need_a_useful_answer(#[case] load_info: Value, #[case] expected: bool) {
+fn health_checks_require_a_report_of_log_position_or_role(#[case] load_info: Value, #[case] expected: bool) {
     let settings = json!({"classes": [], "limits": {"probes": true}, "loadInfo": load_info});
     assert_eq!(decode(&settings).unwrap().health_checks, expected);
 }
 
 #[test]
-fn a_field_that_is_given_twice_has_its_last_value() {
+fn the_last_of_duplicate_fields_counts() {
     let settings = serde_json::from_str(r#"{"classes":[],"tick":1,"tick":2}"#).unwrap();
     assert_eq!(decode(&settings).unwrap().tick, secs(2.0));
 }
 
-/// No rule reads how long an endpoint waits for its data, but a time out of range is an error all the same.
+/// The policy does not use `specifics.wait`, but a value out of range is an error all the same.
 #[test]
-fn the_wait_for_recent_data_has_its_range() {
+fn the_range_of_the_unused_wait_is_checked() {
     let settings = |wait: f64| json!({"classes": [], "specifics": {"whenBehind": "wait", "wait": wait}});
     assert_eq!(decode(&settings(-1.0)).unwrap_err(), "'specifics.wait' must be finite and non-negative");
     assert!(decode(&settings(0.5)).is_ok());
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -8,8 +8,8 @@
     Config::parse(&config.to_string()).map_err(|error| error.to_string())
 }
 
-/// A configuration with only the fields that have no default.
-fn smallest_config() -> Value {
+/// A configuration of the required fields only.
+fn minimal_config() -> Value {
     json!({
         "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7f",
         "settings": {
@@ -20,17 +20,17 @@
     })
 }
 
-/// The configuration with one field replaced, which is named by a JSON pointer.
+/// The minimal configuration with a field replaced or added at this JSON pointer.
 fn config_with(pointer: &str, value: Value) -> Value {
-    let mut config = smallest_config();
+    let mut config = minimal_config();
     let (parent, field) = pointer.rsplit_once('/').unwrap();
     config.pointer_mut(parent).unwrap()[field] = value;
     config
 }
 
 #[test]
-fn the_smallest_configuration_has_the_defaults() {
-    let config = parse(&smallest_config()).unwrap();
+fn omitted_fields_have_defaults() {
+    let config = parse(&minimal_config()).unwrap();
     assert_eq!((config.name.as_str(), config.seed), ("pg-pooler", 0x7f));
     assert_eq!(
         (config.max_descriptors, config.max_memory, config.keepalive_timeout),
@@ -45,11 +45,11 @@
 }
 
 #[rstest]
-#[case("/seed", json!(7), "'seed' is not a text")]
-#[case("/seed", json!("g"), "'seed' is not hexadecimal: 'g'")]
-#[case("/listen", json!(null), "'listen' is not a text")]
-#[case("/listen", json!("localhost"), "'listen' is not an address with a port: 'localhost'")]
-#[case("/discovery", json!("1.2.3.4"), "'discovery' is not an address with a port: '1.2.3.4'")]
+#[case("/seed", json!(7), "'seed' is not a string")]
+#[case("/seed", json!("g"), "'seed' is not a 64-bit hexadecimal number: 'g'")]
+#[case("/listen", json!(null), "'listen' is not a string")]
+#[case("/listen", json!("localhost"), "'listen' is not an IP address with a port: 'localhost'")]
+#[case("/discovery", json!("1.2.3.4"), "'discovery' is not an IP address with a port: '1.2.3.4'")]
 #[case("/limits", json!({"sockets": "1"}), "'sockets' is not a number")]
 #[case("/limits", json!({"memory_mb": "1"}), "'memory_mb' is not a number")]
 #[case("/settings/limits/keepalive", json!("1"), "'keepalive' is not a number")]
@@ -60,12 +60,12 @@
 #[case("/settings/tick", json!("1"), "in 'settings': 'tick' is not a number")]
 #[case("/settings/tick", json!(0), "in 'settings': 'tick' must be finite and greater than 0")]
 #[case("/settings/classes", json!(1), "in 'settings': 'classes' is not an array")]
-fn a_fault_of_a_configuration_is_named(#[case] pointer: &str, #[case] value: Value, #[case] message: &str) {
+fn an_error_names_the_invalid_field(#[case] pointer: &str, #[case] value: Value, #[case] message: &str) {
     assert_eq!(parse(&config_with(pointer, value)).unwrap_err(), message);
 }
 
 #[test]
-fn names_stand_alone_or_in_objects() {
+fn a_name_is_a_string_or_a_field_of_an_object() {
     let config = config_with("/settings/zones", json!(["here", {"name": "there", "odd": 1}]));
     assert_eq!(parse(&config).unwrap().zones, ["here", "there"]);
 }
@@ -75,7 +75,7 @@
 #[case::a_wrong_type(json!([1]))]
 #[case::no_index(json!({"endpoints": []}))]
 #[case::no_endpoints(json!({"index": 41}))]
-fn a_cached_list_that_cannot_be_read_counts_as_empty(#[case] known: Value) {
+fn an_invalid_cached_list_counts_as_empty(#[case] known: Value) {
     let list = parse(&config_with("/known", known)).unwrap().cached_list;
     assert_eq!(
         (list.version, list.is_snapshot, list.is_complete, list.endpoints.len()),
@@ -101,8 +101,8 @@
 #[case::too_deep(30, false)]
 #[case::far_too_deep(1_000_000, false)]
 fn the_depth_of_a_configuration_is_bounded(#[case] levels: usize, #[case] accepted: bool) {
-    // The field stands two levels deep.
-    let text = smallest_config().to_string();
+    // The array `odd` is itself at the third level.
+    let text = minimal_config().to_string();
     let odd = format!(r#""settings":{{"odd":[{}{}],"#, "[".repeat(levels), "]".repeat(levels));
     let text = text.replace(r#""settings":{"#, &odd);
     assert_eq!(Config::parse(&text).is_ok(), accepted);
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -38,8 +38,8 @@
     assert!(output.status.success(), "{message}");
 
     for (from, to, fault) in [
-        ("127.0.0.1:1", "nowhere", "'listen' is not an address"),
-        ("7f", "xyz", "'seed' is not hexadecimal"),
+        ("127.0.0.1:1", "nowhere", "'listen' is not an IP address"),
+        ("7f", "xyz", "'seed' is not a 64-bit hexadecimal number"),
         (r#""aim":1"#, r#""aim":-1"#, "classes[0].aim"),
         (r#""deadline":2"#, r#""deadline":"soon""#, "'deadline' is not a number"),
         (r#"{"listen""#, "", "not JSON"),
