--- a/src/json/lenient.rs
+++ b/src/json/lenient.rs
@@ -1,11 +1,11 @@
-//! Deserializers for fields whose type is not enforced: a value of another type reads as the default.
+//! Deserializers that replace a value of the wrong type by the default of the expected type.
 
 use serde::de::{Deserialize, DeserializeOwned, Deserializer};
 use serde_json::Value;
 
-/// Deserializes a field of the type `T`, or its default where the value has another type.
+/// Deserializes a value of the type `T`, or returns the default of `T` if the value has another type.
 ///
-/// Use [`list`] for arrays.
+/// For arrays, use [`list`].
 pub(crate) fn value<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -14,7 +14,7 @@
     Value::deserialize(deserializer).map(or_default)
 }
 
-/// Deserializes an array, each of its items like [`value`] does; `None` where the value is not an array.
+/// Deserializes an array, each item as [`value`] does, or returns `None` if the value has another type.
 pub(crate) fn list<'de, D, T>(deserializer: D) -> Result<Option<Vec<T>>, D::Error>
 where
     D: Deserializer<'de>,
@@ -26,37 +26,38 @@
     }
 }
 
-/// Converts a value to the type `T`, or returns the default of `T` where the value has another type.
+/// Converts a value to the type `T`, or returns the default of `T` if the value has another type.
 pub(crate) fn or_default<T: DeserializeOwned + Default>(value: Value) -> T {
-    // Serde would fill the fields of a struct from an array, in their order.
+    // Otherwise serde would accept an array in place of an object, and assign its items to the fields in order.
     if value.is_array() {
         return T::default();
     }
     T::deserialize(value).unwrap_or_default()
 }
 
-/// A number that may be absent. A value of another type is an error once the number is used.
+/// An optional number. A value of another type is only an error once the number is used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum Number {
-    /// The field is missing or null.
+    /// The value is missing or null.
     #[default]
     Absent,
-    /// The field is a number.
+    /// The value is a number.
     Present(f64),
-    /// The field is neither a number nor null.
+    /// The value is neither a number nor null.
     WrongType,
 }
 
-/// A field that must be a number is something else.
+/// A field that must be a number has another type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{field}' is not a number")]
 pub struct NotANumber {
-    /// The name of the field.
+    /// The key of the field.
     pub field: &'static str,
 }
 
 impl Number {
-    /// Returns the number, or `default` where it is absent. The error names the field.
+    /// Returns the number, or `default` if it is absent. Fails if the value has another type; the error names
+    /// `field`.
     pub fn or(self, field: &'static str, default: f64) -> Result<f64, NotANumber> {
         match self {
             Number::Present(number) => Ok(number),
--- a/src/json/mod.rs
+++ b/src/json/mod.rs
@@ -4,28 +4,28 @@
 
 use serde_json::Value;
 
-/// Deepest nesting of arrays and objects that is accepted.
+/// Maximum nesting depth of arrays and objects.
 pub(crate) const MAX_DEPTH: usize = 32;
 
-/// Why a text was not accepted as JSON.
+/// A text is not valid JSON or is nested too deeply.
 #[derive(Debug, thiserror::Error)]
 pub enum JsonError {
-    /// The text does not follow the grammar of JSON.
+    /// The text is not valid JSON.
     #[error("not JSON: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// The arrays and objects are nested too deeply.
+    /// Arrays and objects are nested too deeply.
     #[error("JSON nested deeper than {MAX_DEPTH} levels")]
     TooDeep,
 }
 
-/// Parses a JSON text that is nested at most [`MAX_DEPTH`] levels deep.
+/// Parses a JSON text. Fails if it is nested deeper than [`MAX_DEPTH`] levels.
 pub(crate) fn parse(text: &str) -> Result<Value, JsonError> {
     let value = serde_json::from_str(text)?;
     check_depth(&value)?;
     Ok(value)
 }
 
-/// Rejects a value that is nested deeper than [`MAX_DEPTH`] levels.
+/// Fails if a value is nested deeper than [`MAX_DEPTH`] levels.
 pub(crate) fn check_depth(value: &Value) -> Result<(), JsonError> {
     if exceeds_depth(value, MAX_DEPTH) {
         return Err(JsonError::TooDeep);
@@ -33,7 +33,8 @@
     Ok(())
 }
 
-/// Whether a value has more than `levels` levels. The recursion ends because `levels` counts down.
+/// Whether a value is nested deeper than `levels` levels. The recursion is bounded because `levels` decreases
+/// with each call.
 fn exceeds_depth(value: &Value, levels: usize) -> bool {
     let child_exceeds = |child: &Value| exceeds_depth(child, levels - 1);
     match value {
--- a/src/json/tests.rs
+++ b/src/json/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn nesting_is_accepted_up_to_the_bound() {
+fn nesting_is_accepted_up_to_the_maximum_depth() {
     assert!(parse(&nested(MAX_DEPTH)).is_ok());
     assert!(matches!(parse(&nested(MAX_DEPTH + 1)), Err(JsonError::TooDeep)));
     let objects = r#"{"a":"#.repeat(MAX_DEPTH) + "1" + &"}".repeat(MAX_DEPTH);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn nesting_far_beyond_the_bound_is_rejected_without_exhausting_the_stack() {
+fn excessive_nesting_is_rejected_without_a_stack_overflow() {
     assert!(parse(&nested(1_000_000)).is_err());
     assert!(parse(&"[".repeat(1_000_000)).is_err());
 }
@@ -25,6 +25,6 @@
 }
 
 #[test]
-fn a_syntax_error_says_so() {
+fn the_message_of_a_syntax_error_names_json() {
     assert!(parse("{").unwrap_err().to_string().starts_with("not JSON: "));
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,36 +1,37 @@
-//! Times of the policy. An instant on the pooler's clock, an instant on the endpoints' clock and a
-//! span of time are types of their own, so that the compiler rejects a mix-up.
+//! The time types of the policy. Instants on the pooler's clock, instants on the endpoints' clock and time
+//! spans have different types, so that the compiler rejects code that mixes them up.
 //!
-//! All of them count seconds in double precision, and are compared as such. None of them is ever NaN: numbers
-//! from outside are checked where they come in.
+//! All three types hold seconds as `f64` and compare as such. They are never NaN: numbers from outside are
+//! checked on input.
 
 use std::cmp::Ordering;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
-/// A length of time in seconds; negative where a later instant is subtracted from an earlier one.
+/// A length of time in seconds; negative if a later instant was subtracted from an earlier one.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Span(f64);
 
-/// An instant on the pooler's own clock, which is monotonic.
+/// An instant on the pooler's clock, which is monotonic.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalInstant(f64);
 
-/// An instant on the clock of the endpoints (Unix seconds), by which commits and starts are dated.
+/// An instant on the clock of the endpoints, in Unix seconds. Times of commits and of endpoint starts have
+/// this type.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClusterInstant(f64);
 
-/// A position in the replication log, given by the time of the last commit that was applied (not by an LSN).
+/// A position in the replication log: the time of the last commit that was applied, not an LSN.
 pub type LogPosition = ClusterInstant;
 
-macro_rules! number_of_seconds {
+macro_rules! impl_seconds {
     ($($type:ident),*) => {$(
         impl $type {
-            /// The value of so many seconds.
+            /// Creates a value from a number of seconds.
             pub const fn from_secs(seconds: f64) -> $type {
                 $type(seconds)
             }
 
-            /// The value in seconds.
+            /// Returns the number of seconds.
             pub const fn as_secs(self) -> f64 {
                 self.0
             }
@@ -44,7 +45,7 @@
 
         impl Eq for $type {}
 
-        // The operators compare the numbers at once: they stand on the path of each request.
+        // The operators are implemented directly, without `cmp`, because they are used for every request.
         impl PartialOrd for $type {
             fn partial_cmp(&self, other: &$type) -> Option<Ordering> {
                 Some(self.cmp(other))
@@ -99,9 +100,9 @@
     )*};
 }
 
-number_of_seconds!(Span, LocalInstant, ClusterInstant);
+impl_seconds!(Span, LocalInstant, ClusterInstant);
 
-macro_rules! instant {
+macro_rules! impl_instant_difference {
     ($($type:ident),*) => {$(
         impl Sub for $type {
             type Output = Span;
@@ -113,35 +114,36 @@
     )*};
 }
 
-instant!(LocalInstant, ClusterInstant);
+impl_instant_difference!(LocalInstant, ClusterInstant);
 
 impl Span {
-    /// No time at all.
+    /// A span of zero seconds.
     pub const ZERO: Span = Span(0.0);
 
-    /// The length without its sign.
+    /// Returns the absolute value.
     pub fn abs(self) -> Span {
         Span(self.0.abs())
     }
 }
 
 impl LocalInstant {
-    /// The zero of the clock: before everything that happens.
+    /// The zero of the clock, which precedes all events.
     pub const EPOCH: LocalInstant = LocalInstant(0.0);
 
-    /// The instant on the endpoints' clock, which is ahead of the pooler's by this offset.
+    /// Converts to the endpoints' clock, which is ahead of the pooler's clock by `offset`.
     pub fn to_cluster(self, offset: Span) -> ClusterInstant {
         ClusterInstant(self.0 + offset.0)
     }
 }
 
 impl ClusterInstant {
-    /// The instant on the pooler's clock, which is behind the endpoints' by this offset.
+    /// Converts to the pooler's clock, which is behind the endpoints' clock by `offset`.
     pub fn to_local(self, offset: Span) -> LocalInstant {
         LocalInstant(self.0 - offset.0)
     }
 
-    /// How far the endpoints' clock is ahead if it shows this instant when the pooler's shows the other.
+    /// Returns how far the endpoints' clock is ahead of the pooler's clock if the former shows `self` while the
+    /// latter shows `local`.
     pub fn offset_from(self, local: LocalInstant) -> Span {
         Span(self.0 - local.0)
     }
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -1,31 +1,31 @@
-//! Times of the policy, and short constructors of them for the tests of other modules.
+//! Tests of the time types, and short constructors for the tests of other modules.
 
 use super::{ClusterInstant, LocalInstant, Span};
 
-/// So many seconds.
+/// A span of this many seconds.
 pub(crate) const fn secs(seconds: f64) -> Span {
     Span::from_secs(seconds)
 }
 
-/// The instant on the pooler's clock so many seconds after its zero.
+/// The instant on the pooler's clock this many seconds after its zero.
 pub(crate) const fn at(seconds: f64) -> LocalInstant {
     LocalInstant::from_secs(seconds)
 }
 
-/// The instant on the database hosts' clock so many seconds after its zero.
+/// The instant on the endpoints' clock this many seconds after its zero.
 pub(crate) const fn cluster_at(seconds: f64) -> ClusterInstant {
     ClusterInstant::from_secs(seconds)
 }
 
 #[test]
-fn the_difference_of_two_instants_is_a_span_and_may_be_negative() {
+fn the_difference_of_instants_is_a_span_that_may_be_negative() {
     assert_eq!(at(3.0) - at(1.0), secs(2.0));
     assert_eq!(cluster_at(1.0) - cluster_at(3.0), secs(-2.0));
     assert_eq!(at(1.0) + secs(2.0) - secs(0.5), at(2.5));
 }
 
 #[test]
-fn an_offset_leads_from_one_clock_to_the_other_and_back() {
+fn an_offset_converts_between_the_clocks() {
     let offset = cluster_at(103.0).offset_from(at(100.0));
     assert_eq!(offset, secs(3.0));
     assert_eq!(at(101.0).to_cluster(offset), cluster_at(104.0));
