--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -9,7 +9,7 @@
 
 use crate::json::lenient::{self, NotANumber, Number};
 use crate::json::{self, JsonError};
-use crate::load_report::{LOG_POSITION_FIELD, PRIMARY_FIELD};
+use crate::load_report::{LOG_POSITION_FIELD, ROLE_FIELD};
 use crate::settings::{
     require_non_negative, Consistency, DeduplicationScope, Idempotency, RequestClass, Settings,
     SettingsError, StaleReadHandling,
@@ -238,7 +238,7 @@
     /// are of no use.
     fn reports_replication_state(&self) -> bool {
         let has_either_field = |fields: &[Option<String>]| {
-            fields.iter().any(|field| matches!(field.as_deref(), Some(LOG_POSITION_FIELD | PRIMARY_FIELD)))
+            fields.iter().any(|field| matches!(field.as_deref(), Some(LOG_POSITION_FIELD | ROLE_FIELD)))
         };
         self.how.as_deref() != Some("silent") && self.fields.as_deref().is_none_or(has_either_field)
     }
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list as service discovery sends it and as the configuration caches it.
+//! The JSON format of the endpoint list, which service discovery sends and the configuration file caches.
 //!
-//! This is the one place that knows the names of its JSON fields and the texts in them.
+//! No other module uses the keys of this format or the values of its text fields.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -10,32 +10,33 @@
 use crate::json::lenient;
 use crate::time::ClusterInstant;
 
-/// Stands for the address of a removed endpoint that has none any more.
+/// The address of a removed endpoint whose list entry has no valid address.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
-/// The access that an endpoint offers if it is the primary of its group.
+/// The value of `access` for the primary of a group.
 const PRIMARY_ACCESS: &str = "writer";
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// A message of service discovery: a snapshot of the endpoint list, or a delta.
+/// A snapshot of the endpoint list, or a delta to an earlier version of it.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(try_from = "RawEndpointList")]
 pub(crate) struct EndpointList {
     /// The version of the list.
     pub version: u64,
-    /// Whether it is a snapshot, with every endpoint; a delta has those that have changed.
+    /// Whether this is a snapshot, which contains every endpoint. A delta contains those that have changed.
     pub is_snapshot: bool,
-    /// Whether every entry could be read. What a list lacks that is not complete is unknown, not removed.
+    /// Whether every entry was valid. An endpoint that is missing from an incomplete list is not known to be
+    /// removed.
     pub is_complete: bool,
-    /// The entries that could be read.
+    /// The valid entries.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// One entry of an endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedEndpoint {
-    /// Its name, by which the policy identifies it.
+    /// Its name, which the policy uses as its identifier.
     pub name: EndpointId,
     /// Where it accepts connections.
     pub address: SocketAddr,
@@ -43,26 +44,26 @@
     pub zone: String,
     /// The number of its replica group.
     pub group: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub status: EndpointStatus,
-    /// When it last started; `None` for long ago, which the list says with 0 or not at all.
+    /// When it last started; `None` if that was long ago, for which the list has 0 or no value.
     pub started_at: Option<ClusterInstant>,
-    /// The role that the list gives it.
+    /// Its role according to the list.
     pub role: Role,
 }
 
-/// Why an endpoint list cannot be used at all.
+/// The whole endpoint list is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum EndpointListError {
-    /// The list has no version.
+    /// The version of the list is missing or has another type.
     #[error("'index' is not a number")]
-    NoIndex,
-    /// The list has no entries, not even an empty array of them.
+    MissingVersion,
+    /// The array of entries is missing or has another type.
     #[error("'endpoints' is not an array")]
-    NoEndpoints,
+    MissingEndpoints,
 }
 
-/// An endpoint list in its JSON form.
+/// The JSON format of an endpoint list.
 #[derive(Deserialize)]
 struct RawEndpointList {
     #[serde(rename = "index", default, deserialize_with = "lenient::value")]
@@ -73,7 +74,7 @@
     entries: Option<Vec<RawEndpoint>>,
 }
 
-/// An entry of an endpoint list in its JSON form.
+/// The JSON format of an entry.
 #[derive(Default, Deserialize)]
 struct RawEndpoint {
     #[serde(default, deserialize_with = "lenient::value")]
@@ -95,11 +96,11 @@
 impl TryFrom<RawEndpointList> for EndpointList {
     type Error = EndpointListError;
 
-    /// Leaves out entries that cannot be read; the list is not complete then. Fails where the list has no
-    /// version or no entries.
+    /// Omits invalid entries and marks the list as incomplete if there are any. Fails if the version or the
+    /// array of entries is missing.
     fn try_from(raw: RawEndpointList) -> Result<Self, Self::Error> {
-        let entries = raw.entries.ok_or(EndpointListError::NoEndpoints)?;
-        let version = raw.version.ok_or(EndpointListError::NoIndex)?;
+        let entries = raw.entries.ok_or(EndpointListError::MissingEndpoints)?;
+        let version = raw.version.ok_or(EndpointListError::MissingVersion)?;
         let entry_count = entries.len();
         let endpoints: Vec<ListedEndpoint> = entries.into_iter().filter_map(RawEndpoint::decode).collect();
         Ok(EndpointList {
@@ -112,7 +113,7 @@
 }
 
 impl RawEndpoint {
-    /// Returns the entry, or `None` where a required field is missing or cannot be read.
+    /// Returns `None` if a required field is missing or invalid.
     fn decode(self) -> Option<ListedEndpoint> {
         let status = decode_status(&self.status?)?;
         Some(ListedEndpoint {
@@ -136,13 +137,13 @@
     })
 }
 
-/// Decodes a start time (Unix milliseconds). Returns `None` for 0.
+/// Decodes a start time in Unix milliseconds. Returns `None` for 0.
 fn decode_started_at(millis: f64) -> Option<ClusterInstant> {
     let seconds = millis / MILLIS_PER_SECOND;
     (seconds != 0.0).then_some(ClusterInstant::from_secs(seconds))
 }
 
-/// Decodes an address. A removed endpoint may have none: its removal has to be known all the same.
+/// Decodes an address. A removed endpoint needs no valid address: its removal must take effect all the same.
 fn decode_address(text: Option<&str>, status: EndpointStatus) -> Option<SocketAddr> {
     let address = text.and_then(|text| text.parse().ok());
     if status == EndpointStatus::Removed {
--- a/src/endpoint_list/tests.rs
+++ b/src/endpoint_list/tests.rs
@@ -52,9 +52,9 @@
 #[case::group(entry_with("group", json!("two")))]
 #[case::status(entry_with("status", json!("ODD")))]
 #[case::status_of_a_wrong_type(entry_with("status", json!({"SERVING": null})))]
-fn an_entry_that_cannot_be_read_is_left_out(#[case] odd: Value) {
-    assert!(decode_entry(odd.clone()).is_none());
-    let list = decode(json!({"index": 1, "endpoints": [entry(), odd, entry()]})).unwrap();
+fn an_invalid_entry_is_omitted(#[case] invalid: Value) {
+    assert!(decode_entry(invalid.clone()).is_none());
+    let list = decode(json!({"index": 1, "endpoints": [entry(), invalid, entry()]})).unwrap();
     assert_eq!((list.is_complete, list.endpoints.len()), (false, 2));
 }
 
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -1,21 +1,22 @@
-//! The load report that an endpoint sends: names and numbers such as `x0=1767225600.123,x1=1`.
+//! The format of the load reports that endpoints send: fields with a name and a number, such as
+//! `x0=1767225600.123,x1=1`.
 //!
-//! The other modules of the library take the names of its fields from this one.
+//! The other modules of the library refer to the fields by the constants of this one.
 
 use crate::interface::{LoadReport, Role};
 use crate::time::LogPosition;
 
-/// The field that holds the applied log position (Unix seconds).
+/// The field with the applied log position, in Unix seconds.
 pub(crate) const LOG_POSITION_FIELD: &str = "x0";
-/// The field that holds the role: [`PRIMARY`], or another number for a replica.
-pub(crate) const PRIMARY_FIELD: &str = "x1";
+/// The field with the role: [`PRIMARY_ROLE`], or another number for a replica.
+pub(crate) const ROLE_FIELD: &str = "x1";
 
-/// The value of [`PRIMARY_FIELD`] that stands for the primary.
-const PRIMARY: f64 = 1.0;
+/// The value of [`ROLE_FIELD`] for a primary.
+const PRIMARY_ROLE: f64 = 1.0;
 
 /// Parses a load report. Unknown fields are ignored.
 ///
-/// Returns `None` where any field cannot be read: the others may be wrong too.
+/// Returns `None` if any field is invalid, because the others may be damaged too.
 pub(crate) fn parse(text: &[u8]) -> Option<LoadReport> {
     let text = std::str::from_utf8(text).ok()?;
     let mut report = LoadReport::default();
@@ -23,14 +24,14 @@
         let (name, value) = parse_field(field)?;
         match name {
             LOG_POSITION_FIELD => report.log_position = Some(LogPosition::from_secs(value)),
-            PRIMARY_FIELD => report.role = Some(Role::primary_if(value == PRIMARY)),
+            ROLE_FIELD => report.role = Some(Role::primary_if(value == PRIMARY_ROLE)),
             _ => {}
         }
     }
     Some(report)
 }
 
-/// Splits a field into its name and its value, which must be a finite number.
+/// Splits a field into its name and its value. Returns `None` if the value is not a finite number.
 fn parse_field(field: &str) -> Option<(&str, f64)> {
     let (name, value) = field.split_once('=')?;
     let value: f64 = value.trim().parse().ok()?;
--- a/src/load_report/tests.rs
+++ b/src/load_report/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!((report.log_position.map(LogPosition::as_secs), report.role), (log_position, role));
 }
 
-/// Guards against the use of a report that was damaged on its way.
+/// Guards against the use of a report that was damaged in transit.
 #[rstest]
 #[case::empty(b"")]
 #[case::no_value(b"x0=1.5,x1")]
@@ -23,6 +23,6 @@
 #[case::nan(b"x0=NaN,x1=1")]
 #[case::unknown_field(b"x0=1.5,queue=")]
 #[case::not_utf8(b"x0=1.5,\xff=1")]
-fn a_report_with_a_field_that_cannot_be_read_is_ignored(#[case] text: &[u8]) {
+fn a_report_with_an_invalid_field_is_ignored(#[case] text: &[u8]) {
     assert!(parse(text).is_none());
 }
