--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
-//! pg-pooler is a connection pooler for replicated databases. It decides where each read and write goes, and
-//! sends it there. [`cli`] runs the program; the network code behind it is private.
+//! pg-pooler is a connection pooler for replicated databases. It routes each read and write to a suitable
+//! endpoint. [`cli`] runs the program; the network code behind it is private.
 //!
-//! [`Policy`] makes every decision; [`interface`] holds the types of its events and actions. The program that
-//! hosts a policy passes events to it and carries out the actions that it gets back. [`settings`] holds what a
-//! policy is created with, [`config`] decodes it from JSON, and [`time`] has the types of its times.
-//! `docs/architecture.md` shows the modules and the way of a request.
+//! [`Policy`] takes every decision, and [`interface`] defines its events and actions. The host program of a
+//! policy passes events to it and carries out the actions that it returns. [`settings`] defines the settings
+//! of a policy, [`config`] decodes them from JSON, and [`time`] defines the time types.
+//! `docs/architecture.md` describes the modules and how they handle a request.
 //!
 //! ```
 //! use pg_pooler::interface::{Action, Endpoint, EndpointStatus, Event, Role, UpdateKind};
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The pooler's program.
+//! The `pg-pooler` program. The command line is implemented in [`pg_pooler::cli`].
 
 use std::process::ExitCode;
 
--- a/src/transient_error.rs
+++ b/src/transient_error.rs
@@ -1,16 +1,16 @@
-//! Transient errors: the operating system lacks something for a moment, and the same call may succeed later.
+//! Transient errors of system calls: a resource is briefly unavailable, and the same call may succeed later.
 
 use std::io;
 use std::thread;
 use std::time::Duration;
 
-/// The most retries of a call: with the delays between them they take five seconds.
+/// Maximum number of retries of a call: with the delays in between, they take five seconds.
 const MAX_RETRIES: u32 = 50;
-/// The time between two attempts of a call.
+/// Delay before a retry.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-// The numbers of errors that the standard library has no kind for, as Linux has them on all architectures
-// that this program is built for.
+// Linux error numbers for which the standard library has no `ErrorKind`. They are the same on all
+// architectures that this program is built for.
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
 const EADDRNOTAVAIL: i32 = 99;
@@ -25,9 +25,9 @@
     by_kind || matches!(error.raw_os_error(), Some(ENFILE | EMFILE | EADDRNOTAVAIL | ENOBUFS))
 }
 
-/// Makes a call, and retries it while its error is transient. Returns the last error after [`MAX_RETRIES`].
+/// Makes a call and retries it while its error is transient. Returns the last error after [`MAX_RETRIES`].
 ///
-/// The thread sleeps between two attempts, which only the start of the program can afford.
+/// The thread sleeps between attempts, so this must only be used while the program starts.
 pub(crate) fn retry<T, E>(
     mut call: impl FnMut() -> Result<T, E>,
     is_transient: impl Fn(&E) -> bool,
--- a/src/transient_error/tests.rs
+++ b/src/transient_error/tests.rs
@@ -12,7 +12,7 @@
 #[case::address_in_use(98, false)]
 #[case::no_such_file(2, false)]
 #[case::access_denied(13, false)]
-fn only_shortages_are_transient(#[case] number: i32, #[case] expected: bool) {
+fn only_temporary_shortages_and_interruptions_are_transient(#[case] number: i32, #[case] expected: bool) {
     assert_eq!(is_transient(&io::Error::from_raw_os_error(number)), expected);
 }
 
