--- a/src/json/lenient.rs
+++ b/src/json/lenient.rs
@@ -28,7 +28,7 @@
 
 /// Converts a value to the type `T`, or returns the default of `T` if the value has another type.
 pub(crate) fn or_default<T: DeserializeOwned + Default>(value: Value) -> T {
-    // Otherwise serde would accept an array in place of an object, and assign its items to the fields in order.
+    // Serde accepts an array in place of an object and assigns its items to the fields in order.
     if value.is_array() {
         return T::default();
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -142,8 +142,8 @@
         LocalInstant(self.0 - offset.0)
     }
 
-    /// Returns how far the endpoints' clock is ahead of the pooler's clock if the former shows `self` while the
-    /// latter shows `local`.
+    /// Returns how far the endpoints' clock is ahead of the pooler's, if they show `self` and `local` at the
+    /// same time.
     pub fn offset_from(self, local: LocalInstant) -> Span {
         Span(self.0 - local.0)
     }
