--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -12,7 +12,7 @@
 pub(crate) use endpoint_table::{EndpointKey, EndpointTable, StartedEndpoints};
 pub(crate) use group::Group;
 
-/// Upper limit of [`Cluster::shortest_staleness`], for settings without a bounded class.
+/// Upper limit of [`Cluster::shortest_staleness_bound`], for settings without a bounded class.
 const MAX_SHORTEST_STALENESS: Span = Span::from_secs(1.0);
 
 /// The cluster as it is known at present.
@@ -21,7 +21,7 @@
     now: LocalInstant,
     clock: ClusterClock,
     endpoints: EndpointTable,
-    shortest_staleness: Span,
+    shortest_staleness_bound: Span,
 }
 
 impl Cluster {
@@ -29,7 +29,7 @@
     pub(crate) fn new(settings: Settings) -> Cluster {
         let staleness_bounds = settings.classes.iter().filter_map(RequestClass::staleness_bound);
         Cluster {
-            shortest_staleness: staleness_bounds.fold(MAX_SHORTEST_STALENESS, Span::min),
+            shortest_staleness_bound: staleness_bounds.fold(MAX_SHORTEST_STALENESS, Span::min),
             clock: ClusterClock::new(settings.shares_endpoint_clock),
             settings,
             now: LocalInstant::EPOCH,
@@ -43,7 +43,7 @@
     }
 
     /// Applies an update of the endpoint list. Returns the endpoints that were added or have restarted.
-    pub(crate) fn apply(&mut self, kind: UpdateKind, entries: &[Endpoint]) -> StartedEndpoints {
+    pub(crate) fn apply_list_update(&mut self, kind: UpdateKind, entries: &[Endpoint]) -> StartedEndpoints {
         for started_at in entries.iter().filter_map(|entry| entry.started_at) {
             self.clock.observe_past_time(started_at, self.now);
         }
@@ -52,7 +52,7 @@
 
     /// Takes in what an answer shows of its endpoint and of the endpoints' clock. `sent_at` is when the
     /// attempt was sent, if it is known.
-    pub(crate) fn observe_answer(
+    pub(crate) fn observe_response(
         &mut self,
         endpoint: EndpointKey,
         result: &AttemptResult,
@@ -87,8 +87,8 @@
     }
 
     /// The shortest staleness bound of any class.
-    pub(crate) fn shortest_staleness(&self) -> Span {
-        self.shortest_staleness
+    pub(crate) fn shortest_staleness_bound(&self) -> Span {
+        self.shortest_staleness_bound
     }
 
     /// The present on the pooler's clock.
@@ -102,8 +102,8 @@
     }
 
     /// The present as it probably is on the clock of the endpoints.
-    pub(crate) fn likely_now(&self) -> ClusterInstant {
-        self.clock.likely(self.now)
+    pub(crate) fn estimated_now(&self) -> ClusterInstant {
+        self.clock.estimate(self.now)
     }
 
     /// All endpoints and groups.
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -7,7 +7,7 @@
 use crate::policy::overdue::{self, OverdueAttempt};
 use crate::policy::primary;
 use crate::policy::read_routing::ReadRouter;
-use crate::policy::request::{Attempt, EndedAttempt, PendingRequest, RequestKey, RequestTerms};
+use crate::policy::request::{Attempt, EndedAttempt, PendingRequest, RequestContext, RequestKey};
 use crate::policy::retry::{self, Replacement};
 use crate::policy::{NoRoute, Policy, Route};
 use crate::time::Span;
@@ -26,10 +26,10 @@
         }
         self.count_request(&request);
         let now = self.cluster.now();
-        let terms = self.terms_of(&request);
-        let queue_until = terms.queue_until;
-        let final_answer_at = (terms.deadline - self.cluster.settings().tick).max(now);
-        let key = self.requests.insert(PendingRequest::new(request, terms));
+        let context = self.context_of(&request);
+        let queue_until = context.queue_until;
+        let final_answer_at = (context.deadline - self.cluster.settings().tick).max(now);
+        let key = self.requests.insert(PendingRequest::new(request, context));
         self.actions.push(Action::SetTimer { at: queue_until, cookie: key });
         // This timer guarantees a final answer just before the deadline.
         self.actions.push(Action::SetTimer { at: final_answer_at, cookie: key });
@@ -48,7 +48,7 @@
         }
     }
 
-    fn terms_of(&mut self, request: &Request) -> RequestTerms {
+    fn context_of(&mut self, request: &Request) -> RequestContext {
         let now = self.cluster.now();
         let class = self.cluster.class(request.class);
         // A request cannot claim a longer deadline than its class has.
@@ -56,13 +56,13 @@
         let work = request.predicted_work.unwrap_or_default();
         let objective = class.latency_objective + class.latency_objective_factor * work;
         let queue_time = time_left * QUEUE_TIME_SHARE - self.cluster.settings().tick;
-        RequestTerms {
-            objective_at: now + objective.min(time_left),
+        RequestContext {
+            objective_expires_at: now + objective.min(time_left),
             deadline: now + time_left,
             queue_until: now + queue_time.max(Span::ZERO),
             session_token: self.sessions.token(request, &self.requests, &self.cluster),
-            quota_use: self.admission.charge_quota(request.tenant, now),
-            sampling_draw: self.rng.f64(),
+            quota_status: self.admission.charge_quota(request.tenant, now),
+            sampling_value: self.rng.f64(),
         }
     }
 
@@ -70,7 +70,7 @@
     pub(crate) fn request_timer_expired(&mut self, key: RequestKey) {
         let Some(request) = self.requests.unfinished_mut(key) else { return };
         let final_timer_time = FINAL_TIMER_TICKS * self.cluster.settings().tick;
-        if self.cluster.now() + final_timer_time >= request.terms().deadline {
+        if self.cluster.now() + final_timer_time >= request.context().deadline {
             self.give_up(key, GiveUpReason::Deadline);
         } else if request.has_reached_no_endpoint() {
             self.give_up(key, GiveUpReason::QueueTimeOver);
@@ -78,7 +78,7 @@
     }
 
     /// Gives up a request for which the process has no more time before it may be killed.
-    pub(crate) fn request_cut_off(&mut self, id: &RequestId) {
+    pub(crate) fn shutdown_imminent(&mut self, id: &RequestId) {
         let Some(key) = self.requests.key(id) else { return };
         if self.requests.unfinished_mut(key).is_some() {
             self.give_up(key, GiveUpReason::Shutdown);
@@ -92,7 +92,7 @@
             return self.give_up(key, reason);
         }
         let has_waited =
-            self.cluster.now() >= request.terms().queue_until && request.has_reached_no_endpoint();
+            self.cluster.now() >= request.context().queue_until && request.has_reached_no_endpoint();
         match self.route(key) {
             Ok(endpoint) => self.send(key, endpoint),
             Err(NoRoute::Queue) if has_waited => self.give_up(key, GiveUpReason::QueueTimeOver),
@@ -134,13 +134,13 @@
         let (id, endpoint) = (request.id().clone(), endpoint.id().clone());
         request.add_attempt(Attempt::new(to, now));
         self.actions.push(Action::Send { id, endpoint, timeout });
-        self.slow_start.spend(to, &self.cluster);
+        self.slow_start.charge_budget(to, &self.cluster);
         self.cluster.endpoint_mut(to).attempt_sent(now);
     }
 
     /// Gives a request its final answer: a rejection where a retry by the client is harmless, else a failure.
     pub(crate) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
-        if reason.is_load_shedding() && self.admission.note_shedding(self.cluster.now()) {
+        if reason.is_load_shedding() && self.admission.record_shedding(self.cluster.now()) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
         }
         let Some(request) = self.requests.get(key) else { return };
@@ -152,7 +152,7 @@
     pub(crate) fn attempt_finished(&mut self, result: &AttemptResult) {
         let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
         let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
-        self.cluster.observe_answer(endpoint, result, sent_at);
+        self.cluster.observe_response(endpoint, result, sent_at);
         self.cluster.observe_report(endpoint, &result.report);
         if let Some(ended) = self.requests.end_attempt(result) {
             self.record_outcome(&ended, result);
@@ -162,7 +162,7 @@
             }
             self.finish_or_retry(ended.key, endpoint, result);
         }
-        self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+        self.update_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
     /// Takes in what the outcome of an attempt shows of its endpoint and of its class.
@@ -174,10 +174,10 @@
             attempt: &ended.attempt,
             result,
             endpoint: self.cluster.endpoint(endpoint),
-            class_latency: self.admission.latency(ended.class),
+            class_latency: self.admission.class_latency(ended.class),
             settings: self.cluster.settings(),
             now,
-            cluster_now: self.cluster.likely_now(),
+            cluster_now: self.cluster.estimated_now(),
         };
         let evidence = observation.evidence();
         if observation.is_connection_refused() {
@@ -194,7 +194,7 @@
 
     fn close_idle_connections(&mut self, endpoint: EndpointKey) {
         let endpoint = self.cluster.endpoint(endpoint);
-        if self.connection_shortage.is_expected(self.cluster.now()) && endpoint.load().in_flight() == 0 {
+        if self.connection_shortage.is_active(self.cluster.now()) && endpoint.load().in_flight() == 0 {
             self.actions.push(Action::CloseIdleConnections { endpoint: endpoint.id().clone() });
         }
     }
@@ -210,7 +210,7 @@
             return self.give_up(key, reason);
         }
         if result.outcome == Outcome::Ineligible && is_write {
-            self.elect_primary(self.cluster.endpoint(endpoint).listing().group());
+            self.update_primary(self.cluster.endpoint(endpoint).listing().group());
         }
         self.dispatch(key);
     }
@@ -234,7 +234,7 @@
     /// Hedges an attempt that takes too long, or cancels it, so that it is retried.
     fn replace_attempt(&mut self, overdue: &OverdueAttempt) {
         let Some(request) = self.requests.get_mut(overdue.request) else { return };
-        let latency = self.admission.latency(request.class());
+        let latency = self.admission.class_latency(request.class());
         let OverdueAttempt { number, delay, .. } = *overdue;
         match retry::replacement(request, number, delay, latency, &self.retry_budget, &self.cluster) {
             Some(Replacement::Hedge) => self.hedge(overdue),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -56,7 +56,7 @@
 use primary::health_checks::HealthChecks;
 use request::RequestTable;
 use retry::RetryBudget;
-use session::Sessions;
+use session::SessionTracker;
 use slow_start::SlowStart;
 use watch::{Watch, WatchChange};
 
@@ -85,7 +85,7 @@
     slow_start: SlowStart,
     retry_budget: RetryBudget,
     health_checks: HealthChecks,
-    sessions: Sessions,
+    sessions: SessionTracker,
     watch: Watch,
     connection_shortage: ConnectionShortage,
     housekeeping: Housekeeping,
@@ -108,7 +108,7 @@
             slow_start: SlowStart::new(),
             retry_budget: RetryBudget::new(),
             health_checks: HealthChecks::new(),
-            sessions: Sessions::default(),
+            sessions: SessionTracker::default(),
             watch: Watch::default(),
             connection_shortage: ConnectionShortage::default(),
             housekeeping: Housekeeping::new(&settings),
@@ -132,7 +132,7 @@
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
             }
-            Event::ShutdownImminent { id } => self.request_cut_off(&id),
+            Event::ShutdownImminent { id } => self.shutdown_imminent(&id),
             Event::TimerExpired { cookie: HOUSEKEEPING_COOKIE } => self.housekeep(),
             Event::TimerExpired { cookie } => self.request_timer_expired(cookie),
         }
@@ -154,13 +154,13 @@
             self.actions.push(Action::Watch);
         }
         self.handle_overdue_attempts();
-        self.cluster.endpoints_mut().forget_empty_groups();
+        self.cluster.endpoints_mut().remove_empty_groups();
         self.slow_start.forget_groups(&self.cluster);
         let horizon = now - self.cluster.settings().max_watch_gap * FORGET_AFTER_WATCH_GAPS;
         for group in self.cluster.endpoints().group_ids() {
-            self.cluster.endpoints_mut().forget_removed(group, horizon);
+            self.cluster.endpoints_mut().purge_removed(group, horizon);
             self.search_primary(group);
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
@@ -179,7 +179,7 @@
         } else if self.watch.succeeded() == WatchChange::Changed {
             self.actions.push(Action::Log(StateChange::WatchRestored));
         }
-        let started = self.cluster.apply(kind, entries);
+        let started = self.cluster.apply_list_update(kind, entries);
         for &endpoint in &started.added {
             self.health_checks.endpoint_added(endpoint);
         }
@@ -187,17 +187,17 @@
             self.slow_start.endpoint_started(endpoint);
         }
         for group in self.cluster.endpoints().group_ids() {
-            self.elect_primary(group);
+            self.update_primary(group);
         }
     }
 
     /// How many endpoints are kept in memory, those that were removed recently included.
-    pub fn endpoints_known(&self) -> usize {
-        self.cluster.endpoints().slots()
+    pub fn endpoint_count(&self) -> usize {
+        self.cluster.endpoints().slot_count()
     }
 
     /// How many groups are kept in memory.
-    pub fn groups_known(&self) -> usize {
+    pub fn group_count(&self) -> usize {
         self.cluster.endpoints().group_count()
     }
 }
