--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -169,9 +169,9 @@
     pub fn run_cycle(&mut self, now: Instant) -> Progress {
         let progress = self.advance(now);
         let has_unread_input = self.has_unread_input();
-        if let State::Busy { reply, response_started, .. } = &mut self.state {
-            if !*response_started && (reply.has_started() || has_unread_input) {
-                *response_started = true;
+        if let State::Busy { reply, reply_started, .. } = &mut self.state {
+            if !*reply_started && (reply.has_started() || has_unread_input) {
+                *reply_started = true;
                 self.state_deadline = self.state_deadline.min(now + self.connect_timeout);
             }
         }
@@ -228,7 +228,7 @@
             return Err(Progress::Failed(Outcome::ConnectFailed));
         }
         self.output.write_to(&mut self.stream).map_err(|_| self.connection_lost())?;
-        if let State::Busy { exchange, response_started: false, .. } = &self.state {
+        if let State::Busy { exchange, reply_started: false, .. } = &self.state {
             if is_query_waiting && self.write_status() == WriteStatus::Written {
                 self.state_deadline = exchange.deadline();
             }
--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -14,7 +14,7 @@
 /// By how much the time that an endpoint is given may exceed the time that its client still waits.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-fn long_read(started_at: Instant) -> Exchange {
+fn exchange_with_long_statement(started_at: Instant) -> Exchange {
     let text = format!("/* d=5000 */ SELECT '{}'", "x".repeat(STATEMENT_LENGTH)).into_boxed_str();
     let statement = Statement { text, timeout_range: 5..9, memory: None };
     let attempt = AttemptTask { request: "1".into(), number: 0, statement: Rc::new(statement) };
@@ -22,15 +22,21 @@
 }
 
 /// A connection whose session is started at an instant, to an endpoint that reads nothing more.
-fn connection_with_waiting_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
+fn connection_with_blocked_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&listener).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).unwrap();
     socket2::SockRef::from(&stream).set_send_buffer_size(SOCKET_BUFFER).unwrap();
     let budget = MemoryBudget::new(1_000_000);
-    let mut connection =
-        Connection::new("db-1".into(), address, stream, long_read(started_at), CONNECT_TIMEOUT, &budget);
+    let mut connection = Connection::new(
+        "db-1".into(),
+        address,
+        stream,
+        exchange_with_long_statement(started_at),
+        CONNECT_TIMEOUT,
+        &budget,
+    );
     let (mut endpoint, _) = listener.accept().unwrap();
     while !connection.state.is_starting() {
         assert_eq!(connection.run_cycle(started_at), Progress::Pending);
@@ -50,7 +56,7 @@
 #[test]
 fn a_query_that_waits_to_be_written_is_given_up_before_its_deadline_is_wrong() {
     let started_at = Instant::now();
-    let (mut connection, _endpoint) = connection_with_waiting_query(started_at);
+    let (mut connection, _endpoint) = connection_with_blocked_query(started_at);
     assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "it waits for too long");
     let expired = connection.expire(started_at + DEADLINE_SLACK);
     assert_eq!(expired, Progress::Failed(Outcome::ConnectFailed));
@@ -59,7 +65,7 @@
 #[test]
 fn a_query_that_has_waited_too_long_is_not_written_when_the_endpoint_reads_again() {
     let started_at = Instant::now();
-    let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
+    let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     let late = started_at + 2 * DEADLINE_SLACK;
     assert_eq!(connection.run_cycle(late), Progress::Failed(Outcome::ConnectFailed));
@@ -68,7 +74,7 @@
 #[test]
 fn a_query_that_is_written_has_all_its_time() {
     let started_at = Instant::now();
-    let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
+    let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     while !connection.has_empty_buffers() {
         assert_eq!(connection.run_cycle(started_at), Progress::Pending);
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -34,7 +34,7 @@
 
 /// Idle connections are closed after this share of an endpoint's keepalive. A query that is sent while the
 /// endpoint closes its connection would end in a reset.
-const IDLE_TIMEOUT_SHARE: f64 = 0.7;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
 /// Carries out tasks on endpoints.
 pub(crate) struct Backend {
@@ -58,7 +58,7 @@
         Backend {
             pool: Pool::new(max_connections),
             budget,
-            idle_timeout: keepalive.mul_f64(IDLE_TIMEOUT_SHARE),
+            idle_timeout: keepalive.mul_f64(IDLE_TIMEOUT_FRACTION),
             connect_timeout,
         }
     }
@@ -72,7 +72,7 @@
         context: &mut Context,
     ) {
         let no_longer_serving = self.pool.update_endpoints(kind, endpoints, context.reactor.now());
-        for id in self.pool.unsent_to(&no_longer_serving) {
+        for id in self.pool.connections_with_unsent_query(&no_longer_serving) {
             self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
         }
     }
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -130,7 +130,7 @@
     }
 
     /// The connections to these endpoints whose query is not sent yet.
-    pub fn unsent_to(&self, endpoints: &HashSet<EndpointId>) -> Vec<ConnectionId> {
+    pub fn connections_with_unsent_query(&self, endpoints: &HashSet<EndpointId>) -> Vec<ConnectionId> {
         let is_unsent = |connection: &Connection| {
             connection.has_unsent_query() && endpoints.contains(connection.endpoint())
         };
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -19,7 +19,7 @@
 
 /// How far the result set of one query has been received. It has exactly one row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum ResultSet {
+enum ResultSetState {
     #[default]
     AwaitingRowDescription,
     AwaitingDataRow,
@@ -27,18 +27,18 @@
     Complete,
 }
 
-impl ResultSet {
+impl ResultSetState {
     /// The state after a message of this kind; none if the message is out of order.
-    fn after(self, kind: BackendMessageKind) -> Option<ResultSet> {
+    fn next_state(self, kind: BackendMessageKind) -> Option<ResultSetState> {
         match (self, kind) {
-            (ResultSet::AwaitingRowDescription, BackendMessageKind::RowDescription) => {
-                Some(ResultSet::AwaitingDataRow)
+            (ResultSetState::AwaitingRowDescription, BackendMessageKind::RowDescription) => {
+                Some(ResultSetState::AwaitingDataRow)
             }
-            (ResultSet::AwaitingDataRow, BackendMessageKind::DataRow) => {
-                Some(ResultSet::AwaitingCommandComplete)
+            (ResultSetState::AwaitingDataRow, BackendMessageKind::DataRow) => {
+                Some(ResultSetState::AwaitingCommandComplete)
             }
-            (ResultSet::AwaitingCommandComplete, BackendMessageKind::CommandComplete) => {
-                Some(ResultSet::Complete)
+            (ResultSetState::AwaitingCommandComplete, BackendMessageKind::CommandComplete) => {
+                Some(ResultSetState::Complete)
             }
             _ => None,
         }
@@ -70,7 +70,7 @@
 /// What has been received in reply to one query.
 #[derive(Default)]
 pub(super) struct Reply {
-    result_set: ResultSet,
+    result_set: ResultSetState,
     /// The SQLSTATE of the latest ErrorResponse.
     error_code: Option<String>,
     /// The messages of the result set as they were received; empty for a health check.
@@ -88,14 +88,14 @@
     pub fn outcome(&self) -> Option<Outcome> {
         match &self.error_code {
             Some(code) => Some(error_outcome(code)),
-            None if self.result_set == ResultSet::Complete => Some(Outcome::Success),
+            None if self.result_set == ResultSetState::Complete => Some(Outcome::Success),
             None => None,
         }
     }
 
     /// Whether a part of the result set or an error has been received.
     pub fn has_started(&self) -> bool {
-        self.result_set != ResultSet::AwaitingRowDescription || self.error_code.is_some()
+        self.result_set != ResultSetState::AwaitingRowDescription || self.error_code.is_some()
     }
 
     /// Whether a load report has been received and could be parsed.
@@ -166,7 +166,7 @@
         task: &Task,
         value_memory: &mut MemoryReservation,
     ) -> Result<(), ReplyError> {
-        self.result_set = self.result_set.after(message.kind).ok_or(ReplyError::UnexpectedMessage)?;
+        self.result_set = self.result_set.next_state(message.kind).ok_or(ReplyError::UnexpectedMessage)?;
         match task {
             Task::HealthCheck => {
                 if message.kind == BackendMessageKind::DataRow {
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -21,7 +21,7 @@
         /// What has been received of the reply.
         reply: Reply,
         /// Whether the reply has begun, so that the connect timeout applies to the rest of it.
-        response_started: bool,
+        reply_started: bool,
     },
 }
 
@@ -46,7 +46,7 @@
 impl State {
     /// The state at the start of an exchange, before its query is sent.
     pub fn busy(exchange: Exchange) -> State {
-        State::Busy { exchange, reply: Reply::default(), response_started: false }
+        State::Busy { exchange, reply: Reply::default(), reply_started: false }
     }
 
     /// Whether the connection waits for an exchange.
@@ -113,7 +113,7 @@
                 }
             }
             State::Busy { .. } if query == WriteStatus::Pending => Expiry::Failed(Outcome::ConnectFailed),
-            State::Busy { response_started: true, .. } => Expiry::ReplyStalled,
+            State::Busy { reply_started: true, .. } => Expiry::ReplyStalled,
             // Idle has no exchange: never reported.
             State::Busy { .. } | State::Idle => Expiry::Failed(Outcome::Timeout),
         }
--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -17,7 +17,7 @@
 }
 
 /// A state whose reply is an ErrorResponse with this code, or empty.
-fn busy(error_code: Option<&str>, response_started: bool) -> State {
+fn busy(error_code: Option<&str>, reply_started: bool) -> State {
     let mut reply = Reply::default();
     let mut value_memory = MemoryBudget::new(0).reservation();
     if let Some(code) = error_code {
@@ -25,7 +25,7 @@
         let error = BackendMessage { kind: BackendMessageKind::ErrorResponse, body };
         reply.add_message(&error, &Task::HealthCheck, &mut value_memory).unwrap();
     }
-    State::Busy { exchange: exchange(), reply, response_started }
+    State::Busy { exchange: exchange(), reply, reply_started }
 }
 
 #[rstest]
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -41,16 +41,16 @@
 #[test]
 fn buffers_share_their_memory_budget_and_return_it() {
     let budget = MemoryBudget::new(MAX_BUFFER_SIZE + INITIAL_SIZE);
-    let mut one = RingBuffer::new(&budget);
-    let mut two = RingBuffer::new(&budget);
-    one.push(&vec![1; MAX_BUFFER_SIZE]).unwrap();
-    assert!(one.push(&[1]).is_err(), "past its own maximum size");
-    two.push(&[2]).unwrap();
-    assert!(two.push(&vec![2; INITIAL_SIZE]).is_err(), "past the shared budget");
-    assert_eq!(two.read_from(&mut &[3; MAX_BUFFER_SIZE][..]).unwrap(), ReadStatus::Full);
-    one.consume(MAX_BUFFER_SIZE);
-    assert_eq!(two.read_from(&mut &[3; INITIAL_SIZE][..]).unwrap(), ReadStatus::EndOfStream);
-    drop((one, two));
+    let mut first = RingBuffer::new(&budget);
+    let mut second = RingBuffer::new(&budget);
+    first.push(&vec![1; MAX_BUFFER_SIZE]).unwrap();
+    assert!(first.push(&[1]).is_err(), "past its own maximum size");
+    second.push(&[2]).unwrap();
+    assert!(second.push(&vec![2; INITIAL_SIZE]).is_err(), "past the shared budget");
+    assert_eq!(second.read_from(&mut &[3; MAX_BUFFER_SIZE][..]).unwrap(), ReadStatus::Full);
+    first.consume(MAX_BUFFER_SIZE);
+    assert_eq!(second.read_from(&mut &[3; INITIAL_SIZE][..]).unwrap(), ReadStatus::EndOfStream);
+    drop((first, second));
     assert_eq!(budget.available(), MAX_BUFFER_SIZE + INITIAL_SIZE);
 }
 
--- a/src/net/pooler/active_requests/mod.rs
+++ b/src/net/pooler/active_requests/mod.rs
@@ -18,7 +18,7 @@
 
 /// A request that was passed to the policy.
 #[derive(Debug)]
-struct ForwardedRequest {
+struct ActiveRequest {
     /// The client that waits for the final answer; none once it has the answer or has disconnected.
     client: Option<ConnectionId>,
     statement: Rc<Statement>,
@@ -28,7 +28,7 @@
     in_flight: Vec<InFlightAttempt>,
 }
 
-impl ForwardedRequest {
+impl ActiveRequest {
     /// The connections that its attempts in flight run on.
     fn connections(&self) -> Vec<ConnectionId> {
         self.in_flight.iter().filter_map(|attempt| attempt.connection).collect()
@@ -57,7 +57,7 @@
 /// its client has its answer or has disconnected, and no attempt of it is in flight.
 #[derive(Debug, Default)]
 pub(super) struct ActiveRequests {
-    requests: HashMap<RequestId, ForwardedRequest>,
+    requests: HashMap<RequestId, ActiveRequest>,
     /// The request that each busy client waits for.
     by_client: HashMap<ConnectionId, RequestId>,
 }
@@ -70,7 +70,7 @@
 
     /// Adds a request that `client` waits for.
     pub fn insert(&mut self, id: RequestId, client: ConnectionId, statement: Statement) {
-        let request = ForwardedRequest {
+        let request = ActiveRequest {
             client: Some(client),
             statement: Rc::new(statement),
             attempts: 0,
@@ -103,7 +103,7 @@
 
     /// The connections that the attempts of a request run on which are in flight.
     pub fn connections(&self, id: &str) -> Vec<ConnectionId> {
-        self.requests.get(id).map(ForwardedRequest::connections).unwrap_or_default()
+        self.requests.get(id).map(ActiveRequest::connections).unwrap_or_default()
     }
 
     /// Records that an attempt has ended; none where the request is not in progress.
@@ -137,7 +137,7 @@
 
     /// Removes a request that neither a client nor an attempt waits for.
     pub fn remove_if_finished(&mut self, id: &str) {
-        let finished = |request: &ForwardedRequest| request.client.is_none() && request.in_flight.is_empty();
+        let finished = |request: &ActiveRequest| request.client.is_none() && request.in_flight.is_empty();
         if self.requests.get(id).is_some_and(finished) {
             self.requests.remove(id);
         }
--- a/src/net/pooler/endpoints.rs
+++ b/src/net/pooler/endpoints.rs
@@ -22,7 +22,7 @@
         context.counters.endpoint_updates += 1;
         self.backend.update_endpoints(kind, &endpoints, context);
         let any_serving = endpoints.iter().any(|listed| listed.status == EndpointStatus::Serving);
-        let endpoints = endpoints.into_iter().map(|listed| self.endpoint(listed)).collect();
+        let endpoints = endpoints.into_iter().map(|listed| self.policy_endpoint(listed)).collect();
         self.notify_policy(interface::Event::EndpointsUpdated { kind, endpoints }, context);
         if any_serving {
             self.frontend.set_ready(context);
@@ -30,15 +30,15 @@
     }
 
     /// The entry in the form that the policy takes.
-    fn endpoint(&self, listed: ListedEndpoint) -> Endpoint {
+    fn policy_endpoint(&self, listed: ListedEndpoint) -> Endpoint {
         let ListedEndpoint { name, zone, group, status, started_at, role, .. } = listed;
         // A start before 1970 was long ago for the policy; the pool compares it like any other.
         let started_at = started_at.filter(|at| at.as_secs() > 0.0);
-        Endpoint { id: name, zone: self.zone(&zone), group, status, started_at, role }
+        Endpoint { id: name, zone: self.zone_index(&zone), group, status, started_at, role }
     }
 
     /// The number of a zone. A zone that the settings do not name is at least not the pooler's own.
-    fn zone(&self, name: &str) -> u32 {
+    fn zone_index(&self, name: &str) -> u32 {
         let known = self.zones.iter().position(|zone| zone == name);
         known.unwrap_or(self.zones.len()) as u32
     }
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -45,7 +45,7 @@
     discovery: Discovery,
     signals: Signals,
     requests: ActiveRequests,
-    queries: QueryTranslator,
+    query_translator: QueryTranslator,
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
     /// The timeout of a health check: the connect timeout, since neither waits for a query to be executed.
@@ -102,7 +102,7 @@
                 self.notify_policy(interface::Event::ShutdownImminent { id }, context);
             }
         }
-        self.shutdown.schedule_search_for_blocking_requests(&mut context.reactor);
+        self.shutdown.schedule_blocking_request_check(&mut context.reactor);
     }
 }
 
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -39,18 +39,18 @@
     }
 
     /// The number of the class of a query that the class allows.
-    fn class_of(&self, query: &Query) -> Result<usize, InvalidQuery> {
-        let number = self.classes.iter().position(|class| class.name == query.class);
-        let number = number.ok_or(InvalidQuery::UnknownClass)?;
-        let needs_key = self.classes[number].idempotency == Idempotency::IdempotencyKey;
+    fn class_index(&self, query: &Query) -> Result<usize, InvalidQuery> {
+        let index = self.classes.iter().position(|class| class.name == query.class);
+        let index = index.ok_or(InvalidQuery::UnknownClass)?;
+        let needs_key = self.classes[index].idempotency == Idempotency::IdempotencyKey;
         if needs_key && !query.has_idempotency_key {
             return Err(InvalidQuery::MissingIdempotencyKey);
         }
-        Ok(number)
+        Ok(index)
     }
 
     /// The number of a tenant. All tenants that the settings do not name share the number after the last.
-    fn tenant(&self, name: &str) -> usize {
+    fn tenant_index(&self, name: &str) -> usize {
         self.tenants.iter().position(|known| known == name).unwrap_or(self.tenants.len())
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// The request that the policy is asked to place.
-    fn request(
+    fn build_request(
         &self,
         id: RequestId,
         class: usize,
@@ -82,7 +82,7 @@
                 .session_token
                 .map(|committed_at| reactor.policy_time(now) - committed_at.to_local(Span::ZERO)),
             session: session.map(Into::into),
-            tenant: self.tenant(&query.tenant),
+            tenant: self.tenant_index(&query.tenant),
             predicted_work: None,
         }
     }
@@ -103,14 +103,15 @@
         };
         context.counters.requests_received += 1;
         let id = RequestId::from(query.id.as_str());
-        let request = self.queries.request(id.clone(), class, &query, received_at, &context.reactor);
+        let request =
+            self.query_translator.build_request(id.clone(), class, &query, received_at, &context.reactor);
         self.requests.insert(id, client, query.statement);
         self.notify_policy(interface::Event::Request(request), context);
     }
 
     /// The number of the class of a valid query.
     fn validate(&self, query: &Query) -> Result<usize, InvalidQuery> {
-        let class = self.queries.class_of(query)?;
+        let class = self.query_translator.class_index(query)?;
         // Two requests of one identifier could not be distinguished, and an endpoint would see a duplicate.
         if self.requests.contains(&query.id) {
             return Err(InvalidQuery::DuplicateId);
--- a/src/net/pooler/reload.rs
+++ b/src/net/pooler/reload.rs
@@ -36,11 +36,11 @@
     /// descriptor for a moment. A file that is invalid at the first read is not retried. Returns whether a
     /// retry is due.
     fn allow_retries_after(&mut self, error: &ConfigError) -> bool {
-        let may_pass = matches!(error, ConfigError::Read { .. });
-        if may_pass {
+        let is_transient = matches!(error, ConfigError::Read { .. });
+        if is_transient {
             self.retries_left = MAX_RETRIES;
         }
-        may_pass
+        is_transient
     }
 
     /// Takes one of the retries that are left. Returns whether there was one.
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -124,7 +124,7 @@
             discovery: Discovery::new(config.discovery, config.cached_list.version, budget),
             signals,
             requests: ActiveRequests::default(),
-            queries: QueryTranslator::new(config),
+            query_translator: QueryTranslator::new(config),
             zones: config.zones.clone(),
             health_check_timeout: connect_timeout,
             reload: ConfigReload::new(path),
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -99,7 +99,7 @@
     }
 
     /// Schedules the next search for blocking requests.
-    pub fn schedule_search_for_blocking_requests(&self, reactor: &mut Reactor) {
+    pub fn schedule_blocking_request_check(&self, reactor: &mut Reactor) {
         reactor.set_timer(reactor.now() + BLOCKING_REQUEST_INTERVAL, TimerEvent::EndBlockingRequests);
     }
 }
