--- a/src/net/buffer/memory_budget.rs
+++ b/src/net/buffer/memory_budget.rs
@@ -1,4 +1,4 @@
-//! A limit on the memory of all connections together.
+//! Limit on the total memory of all connections.
 
 use std::cell::Cell;
 use std::fmt;
@@ -6,13 +6,13 @@
 
 use thiserror::Error;
 
-/// More bytes were requested than the buffer or the memory budget has left.
+/// A request exceeds the maximum size of the buffer or the remaining memory budget.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the buffer or the memory budget has no capacity left")]
+#[error("buffer size limit or memory budget exceeded")]
 pub(crate) struct CapacityExceeded;
 
-/// The number of bytes that all connections together may still reserve. Each buffer has a limit of its own,
-/// but many together could exceed the memory limit of the process. Clones share the same budget.
+/// Memory budget shared by all connections. Each buffer has a size limit of its own, but many buffers
+/// together could exceed the memory limit of the process. Clones share the same budget.
 #[derive(Clone)]
 pub(crate) struct MemoryBudget {
     available: Rc<Cell<usize>>,
@@ -24,25 +24,25 @@
         MemoryBudget { available: Rc::new(Cell::new(bytes)) }
     }
 
-    /// Returns an empty reservation on this budget.
+    /// Returns an empty reservation against this budget.
     pub fn reservation(&self) -> MemoryReservation {
         MemoryReservation { budget: self.clone(), bytes: 0 }
     }
 
-    /// Returns how many bytes are not reserved.
+    /// Returns the number of unreserved bytes.
     pub(super) fn available(&self) -> usize {
         self.available.get()
     }
 }
 
-/// A number of bytes taken from a [`MemoryBudget`]. Dropping it returns them to the budget.
+/// Bytes reserved from a [`MemoryBudget`]. Dropping the reservation returns them to the budget.
 pub(crate) struct MemoryReservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
 impl MemoryReservation {
-    /// Sets the size of the reservation (bytes). Fails, and changes nothing, if the budget is too small.
+    /// Sets the size of the reservation in bytes. On failure the reservation is unchanged.
     pub fn resize(&mut self, bytes: usize) -> Result<(), CapacityExceeded> {
         let available_without_this = self.budget.available() + self.bytes;
         let available = available_without_this.checked_sub(bytes).ok_or(CapacityExceeded)?;
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// Makes a separate reservation of `bytes` on the same budget.
+    /// Creates a separate reservation of `bytes` against the same budget.
     pub(super) fn reserve_separately(&self, bytes: usize) -> Result<MemoryReservation, CapacityExceeded> {
         let mut reservation = self.budget.reservation();
         reservation.resize(bytes)?;
--- a/src/net/buffer/mod.rs
+++ b/src/net/buffer/mod.rs
@@ -1,4 +1,4 @@
-//! Byte buffers of the connections, and the memory budget that all of them share.
+//! Connection buffers and their shared memory budget.
 
 mod memory_budget;
 mod ring_buffer;
--- a/src/net/buffer/ring_buffer.rs
+++ b/src/net/buffer/ring_buffer.rs
@@ -1,45 +1,45 @@
-//! The ring buffer that each connection has for each direction.
+//! Ring buffer; each connection has one per direction.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::ops::Range;
 
 use super::memory_budget::{CapacityExceeded, MemoryBudget, MemoryReservation};
 
-/// Size of the first allocation.
+/// Size of the first allocation, in bytes.
 pub(super) const INITIAL_SIZE: usize = 1024;
 
-/// An empty buffer larger than this frees its memory, so that idle connections do not each keep the
-/// allocation of their largest message.
+/// Empty buffers with a larger allocation free it, so that idle connections do not keep the memory of their
+/// largest message.
 const MAX_IDLE_SIZE: usize = 4 * 1024;
 
-/// The most bytes that one buffer holds: the largest message of either protocol with its header. A value has
-/// at most 64 KiB, and twice that in hexadecimal.
+/// Maximum size of a buffer in bytes: the largest message of either protocol, including its header. A value
+/// is at most 64 KiB, or twice that in hexadecimal.
 pub(crate) const MAX_BUFFER_SIZE: usize = 160 * 1024;
 
 /// Why reading into a buffer stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReadStatus {
-    /// The source has no more bytes at present.
+    /// The source has no more data available.
     WouldBlock,
-    /// The source has reached its end.
+    /// The source has reached end of stream.
     EndOfStream,
-    /// The buffer has reached its maximum size, or the memory budget is exhausted.
+    /// The buffer has reached its maximum size or the memory budget is exhausted.
     Full,
 }
 
-/// A queue of bytes that grows up to [`MAX_BUFFER_SIZE`] within its memory budget.
+/// Byte queue that grows on demand up to [`MAX_BUFFER_SIZE`], as far as its memory budget allows.
 pub(crate) struct RingBuffer {
     storage: Vec<u8>,
     /// Index of the first byte in `storage`.
     head: usize,
     len: usize,
-    /// The number of bytes added since the buffer was created.
+    /// Number of bytes added since the buffer was created.
     total_received: u64,
     reservation: MemoryReservation,
 }
 
 impl RingBuffer {
-    /// Creates an empty buffer that allocates nothing yet.
+    /// Creates an empty buffer without allocating.
     pub fn new(budget: &MemoryBudget) -> Self {
         RingBuffer {
             storage: Vec::new(),
@@ -50,8 +50,7 @@
         }
     }
 
-    /// Reserves `bytes` on the budget of this buffer, for data that is used after it was taken out of the
-    /// buffer.
+    /// Reserves `bytes` against the budget of this buffer, for data that outlives its place in the buffer.
     pub fn reserve_memory(&self, bytes: usize) -> Result<MemoryReservation, CapacityExceeded> {
         self.reservation.reserve_separately(bytes)
     }
@@ -61,7 +60,7 @@
         self.len
     }
 
-    /// Returns whether the buffer holds no bytes.
+    /// Returns whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -76,7 +75,7 @@
         self.total_received - self.len as u64
     }
 
-    /// Reads until the source would block, has ended, or the buffer is full.
+    /// Reads until the source would block, end of stream, or the buffer is full.
     pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<ReadStatus> {
         loop {
             if self.len == self.storage.len() && self.reserve(1).is_err() {
@@ -111,7 +110,7 @@
         Ok(true)
     }
 
-    /// Appends `bytes`. Fails, and changes nothing, if the buffer or its budget cannot take all of them.
+    /// Appends all of `bytes`. On failure the buffer is unchanged.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), CapacityExceeded> {
         if bytes.is_empty() {
             return Ok(());
@@ -126,7 +125,7 @@
         Ok(())
     }
 
-    /// Returns the first `N` bytes without removing them, or `None` if there are fewer.
+    /// Returns the first `N` bytes without removing them, or `None` if the buffer holds fewer.
     pub fn peek<const N: usize>(&self) -> Option<[u8; N]> {
         if self.len < N {
             return None;
@@ -136,21 +135,21 @@
         Some(bytes)
     }
 
-    /// Returns at most `count` of the first bytes without removing them.
+    /// Returns up to `count` bytes from the front without removing them.
     pub fn peek_up_to(&self, count: usize) -> Vec<u8> {
         let mut bytes = vec![0; count.min(self.len)];
         self.copy_first(&mut bytes);
         bytes
     }
 
-    /// Removes and returns at most `count` of the first bytes.
+    /// Removes and returns up to `count` bytes from the front.
     pub fn take(&mut self, count: usize) -> Vec<u8> {
         let bytes = self.peek_up_to(count);
         self.consume(bytes.len());
         bytes
     }
 
-    /// Removes at most `count` of the first bytes.
+    /// Removes up to `count` bytes from the front.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.len -= count;
@@ -158,7 +157,7 @@
         self.free_if_empty();
     }
 
-    /// Grows the buffer where it has no capacity for `additional` bytes.
+    /// Grows the buffer if it has no room for `additional` bytes.
     fn reserve(&mut self, additional: usize) -> Result<(), CapacityExceeded> {
         let needed = self.len + additional;
         if needed > MAX_BUFFER_SIZE {
@@ -170,7 +169,7 @@
         Ok(())
     }
 
-    /// Moves the bytes to a new allocation of `size` bytes.
+    /// Moves the contents to a new allocation of `size` bytes.
     fn grow(&mut self, size: usize) -> Result<(), CapacityExceeded> {
         self.reservation.resize(size)?;
         let mut storage = vec![0; size];
@@ -180,7 +179,7 @@
         Ok(())
     }
 
-    /// Copies the first bytes to `destination`, which must not be longer than the buffer.
+    /// Fills `destination` with bytes from the front. `destination` must not be longer than the contents.
     fn copy_first(&self, destination: &mut [u8]) {
         let before_wrap = destination.len().min(self.storage.len() - self.head);
         let (first, second) = destination.split_at_mut(before_wrap);
@@ -188,26 +187,25 @@
         second.copy_from_slice(&self.storage[..second.len()]);
     }
 
-    /// Returns the index in `storage` where the next byte is added. `storage` must not be empty.
+    /// Returns the index in `storage` of the next byte to be written. `storage` must not be empty.
     fn tail(&self) -> usize {
         (self.head + self.len) % self.storage.len()
     }
 
-    /// Returns the free range of `storage` from the tail up to the head or the end of the allocation. The
-    /// buffer must not be full.
+    /// Returns the contiguous free range of `storage` that starts at the tail. The buffer must not be full.
     fn first_free_range(&self) -> Range<usize> {
         let tail = self.tail();
         let end = if tail < self.head { self.head } else { self.storage.len() };
         tail..end
     }
 
-    /// Counts bytes that were written to `storage` at the tail.
+    /// Records that `count` bytes were written to `storage` at the tail.
     fn record_added(&mut self, count: usize) {
         self.len += count;
         self.total_received += count as u64;
     }
 
-    /// Frees a large allocation once the buffer is empty.
+    /// Frees the allocation if the buffer is empty and the allocation is larger than [`MAX_IDLE_SIZE`].
     fn free_if_empty(&mut self) {
         if self.len == 0 && self.storage.len() > MAX_IDLE_SIZE {
             self.storage = Vec::new();
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the ring buffer and of its memory budget.
+//! Tests of the ring buffer and the memory budget.
 
 use std::io::{self, ErrorKind, Read};
 
 use super::ring_buffer::INITIAL_SIZE;
 use super::*;
 
-/// A source that never has anything to read.
+/// A source whose reads always fail with `WouldBlock`.
 struct BlockedSource;
 
 impl Read for BlockedSource {
@@ -26,7 +26,7 @@
         }
         next_taken
     };
-    // Odd sizes put the wraparound at every index. More is pushed than taken, so that the buffer also grows.
+    // Odd sizes move the wraparound over every index. More is pushed than taken, so the buffer also grows.
     for round in 0..2000 {
         let bytes: Vec<u8> = (0..round % 37).map(|n| next_pushed.wrapping_add(n as u8)).collect();
         buffer.push(&bytes).unwrap();
@@ -44,9 +44,9 @@
     let mut first = RingBuffer::new(&budget);
     let mut second = RingBuffer::new(&budget);
     first.push(&vec![1; MAX_BUFFER_SIZE]).unwrap();
-    assert!(first.push(&[1]).is_err(), "past its own maximum size");
+    assert!(first.push(&[1]).is_err(), "exceeds the maximum buffer size");
     second.push(&[2]).unwrap();
-    assert!(second.push(&vec![2; INITIAL_SIZE]).is_err(), "past the shared budget");
+    assert!(second.push(&vec![2; INITIAL_SIZE]).is_err(), "exceeds the shared budget");
     assert_eq!(second.read_from(&mut &[3; MAX_BUFFER_SIZE][..]).unwrap(), ReadStatus::Full);
     first.consume(MAX_BUFFER_SIZE);
     assert_eq!(second.read_from(&mut &[3; INITIAL_SIZE][..]).unwrap(), ReadStatus::EndOfStream);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn peek_leaves_the_bytes_and_needs_all_of_them() {
+fn peek_removes_nothing_and_returns_none_if_bytes_are_missing() {
     let mut buffer = RingBuffer::new(&MemoryBudget::new(INITIAL_SIZE));
     assert_eq!(buffer.peek::<0>(), Some([]));
     assert_eq!(buffer.peek_up_to(3), b"");
