--- a/src/net/reactor/clock.rs
+++ b/src/net/reactor/clock.rs
@@ -1,14 +1,14 @@
-//! The clock of the event loop, and the time that the policy counts on.
+//! Conversion between event loop instants and policy time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use crate::time::{LocalInstant, Span};
 
-/// The longest duration that is counted. Adding it to the present cannot overflow an [`Instant`].
+/// Upper bound for durations. Adding it to the current time cannot overflow an [`Instant`].
 const MAX_DURATION: Duration = Duration::from_secs(100 * 365 * 24 * 60 * 60);
 
-/// Converts between the instants of the event loop and the policy's time. The system clock is read at the
-/// start only, so that setting it neither delays nor fires a timer.
+/// Converts between event loop instants and policy time. The system clock is read only at startup, so that
+/// adjusting it neither delays nor triggers timers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     started_at: Instant,
@@ -23,30 +23,30 @@
         Clock::new(Instant::now(), LocalInstant::from_secs(since_epoch.as_secs_f64()))
     }
 
-    /// Creates a clock that started at an instant, with the time that the system clock showed then.
+    /// Creates a clock that started at `started_at`, when the system clock read `system_time_at_start`.
     pub fn new(started_at: Instant, system_time_at_start: LocalInstant) -> Clock {
         Clock { started_at, system_time_at_start }
     }
 
-    /// Returns the policy's time at an instant. An instant before the start counts as the start.
+    /// Converts an instant to policy time. Instants before the start are clamped to the start.
     pub fn policy_time(&self, instant: Instant) -> LocalInstant {
         self.system_time_at_start + span_of(instant.saturating_duration_since(self.started_at))
     }
 
-    /// Returns the instant of a policy's time. A time before the start counts as the start, and one that is
-    /// too late for an instant as a hundred years later.
+    /// Converts policy time to an instant. Times before the start are clamped to the start, times beyond the
+    /// range of an instant to a hundred years after the start.
     pub fn instant_of(&self, policy_time: LocalInstant) -> Instant {
         self.started_at + duration_of(policy_time - self.system_time_at_start)
     }
 }
 
-/// Returns the policy's span for a duration.
+/// Converts a duration to a span.
 pub(crate) fn span_of(duration: Duration) -> Span {
     Span::from_secs(duration.as_secs_f64())
 }
 
-/// Returns the duration of a policy's span. A negative span counts as zero. One that is too long, infinite or
-/// not a number counts as a hundred years.
+/// Converts a span to a duration. Negative spans become zero. Spans that are too long, infinite or NaN become
+/// a hundred years.
 pub(crate) fn duration_of(span: Span) -> Duration {
     if span.as_secs() < 0.0 {
         return Duration::ZERO;
--- a/src/net/reactor/connection_table.rs
+++ b/src/net/reactor/connection_table.rs
@@ -1,28 +1,29 @@
-//! Connections by id. An id is never valid for a later connection in the same slot.
+//! Table of connections by ID. Generations keep the ID of a removed connection from matching the next
+//! connection in the same slot.
 
 use slab::Slab;
 
-/// The number of bits of a generation: an event token must hold it beside the index and the kind of the
-/// source.
+/// Number of bits of a generation. An event token holds the generation together with the slot index and the
+/// kind of the source.
 pub(super) const GENERATION_BITS: u32 = 29;
-/// The largest generation. The one after it is 0 again.
+/// The largest generation; the next one wraps around to 0.
 pub(super) const MAX_GENERATION: u32 = (1 << GENERATION_BITS) - 1;
 
-/// Identifies one connection in a [`ConnectionTable`]. Slots are reused: the generation keeps an event that
-/// arrives after the connection was removed from the next connection in the slot.
+/// Identifies a connection in a [`ConnectionTable`]. Slots are reused; the generation ensures that an event
+/// for a removed connection does not reach the next connection in the slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ConnectionId {
     pub(super) index: u32,
     pub(super) generation: u32,
 }
 
-/// A connection and the generation that its id must have.
+/// An occupied slot: a connection and the generation of its ID.
 struct Entry<T> {
     generation: u32,
     connection: T,
 }
 
-/// Connections by [`ConnectionId`].
+/// Connections indexed by [`ConnectionId`].
 pub(crate) struct ConnectionTable<T> {
     entries: Slab<Entry<T>>,
     next_generation: u32,
@@ -39,7 +40,7 @@
         self.entries.len()
     }
 
-    /// Adds a connection and returns its id.
+    /// Adds a connection and returns its ID.
     pub fn insert(&mut self, connection: T) -> ConnectionId {
         let generation = self.next_generation;
         self.next_generation = (generation + 1) & MAX_GENERATION;
@@ -47,20 +48,20 @@
         ConnectionId { index: index as u32, generation }
     }
 
-    /// Returns the connection with this id, unless it was removed.
+    /// Returns the connection with this ID, or `None` if it was removed.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut T> {
         let entry = self.entries.get_mut(id.index as usize)?;
         (entry.generation == id.generation).then_some(&mut entry.connection)
     }
 
-    /// Removes and returns the connection with this id, unless it was removed before.
+    /// Removes and returns the connection with this ID, or `None` if it was already removed.
     pub fn remove(&mut self, id: ConnectionId) -> Option<T> {
         self.get_mut(id)?;
         let entry = self.entries.try_remove(id.index as usize)?;
         Some(entry.connection)
     }
 
-    /// Iterates over all connections in the order of their slots.
+    /// Iterates over all connections in slot order.
     pub fn iter(&self) -> impl Iterator<Item = (ConnectionId, &T)> {
         self.entries.iter().map(|(index, entry)| {
             let id = ConnectionId { index: index as u32, generation: entry.generation };
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -1,4 +1,4 @@
-//! The event loop: waits for sockets, signals and timers, and calls their handler.
+//! Event loop: polls sockets, signals and timers and dispatches their events to a [`Handler`].
 
 mod clock;
 mod connection_table;
@@ -22,21 +22,21 @@
 use timers::TimerQueue;
 pub(crate) use tokens::EventSource;
 
-/// The most poll events that are fetched at once.
+/// Maximum number of events returned by one poll.
 const MAX_EVENTS_PER_POLL: usize = 256;
 
-/// The registry of event sources, the timers and the clock.
+/// Registry of event sources, timers and clock.
 pub(crate) struct Reactor {
     registry: Registry,
     timers: TimerQueue,
     clock: Clock,
-    /// How many registrations are still to fail, as the system lets them when it has no memory.
+    /// Number of upcoming registrations that fail as if the system were out of memory.
     #[cfg(test)]
     pub failing_registrations: usize,
 }
 
 impl Reactor {
-    /// Creates a reactor whose registry belongs to `poll`. Fails if the system has no file descriptor left.
+    /// Creates a reactor that registers event sources with `poll`. Fails if no file descriptor is left.
     pub fn new(poll: &Poll) -> io::Result<Reactor> {
         Ok(Reactor {
             registry: poll.registry().try_clone()?,
@@ -47,8 +47,8 @@
         })
     }
 
-    /// Registers a socket or the signals: their events are reported under the name `source`. Fails if the
-    /// system has no memory for the registration.
+    /// Registers a socket or the signals; their events are reported as `source`. Fails if the system is out
+    /// of memory.
     pub fn register(
         &mut self,
         socket: &mut impl Source,
@@ -63,55 +63,55 @@
         self.registry.register(socket, source.into(), interest)
     }
 
-    /// Returns the present time of the monotonic clock. Each call reads the clock anew.
+    /// Reads the monotonic clock; the result is not cached.
     pub fn now(&self) -> Instant {
         Instant::now()
     }
 
-    /// Returns the policy's time at an instant: Unix time by the system clock at the start and the monotonic
-    /// clock since.
+    /// Converts an instant to policy time: the system clock at startup (Unix time) plus the monotonic time
+    /// since.
     pub fn policy_time(&self, instant: Instant) -> LocalInstant {
         self.clock.policy_time(instant)
     }
 
-    /// Returns the instant of a policy's time. Never fails: a time out of range counts as the start or as a
-    /// hundred years later.
+    /// Converts policy time to an instant. Out-of-range times are clamped to the start or to a hundred years
+    /// after it.
     pub fn instant_of(&self, policy_time: LocalInstant) -> Instant {
         self.clock.instant_of(policy_time)
     }
 
-    /// Sets a timer that expires at `at`.
+    /// Sets a timer that reports `event` at `at`.
     pub fn set_timer(&mut self, at: Instant, event: TimerEvent) {
         self.timers.push(at, event);
     }
 
-    /// Returns the time until the next timer expires, or `None` without timers.
+    /// Returns the time until the next timer expires, or `None` if no timer is set.
     fn poll_timeout(&self) -> Option<Duration> {
         let next_expiry = self.timers.next_expiry()?;
         Some(next_expiry.saturating_duration_since(self.now()))
     }
 }
 
-/// What the event of a source announces.
+/// Readiness reported by a poll event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
-    /// The source can be read or written.
+    /// The source is readable or writable.
     Ready,
-    /// The peer has closed its side. Earlier bytes may be still unread.
+    /// The peer has closed its side. Data received before may still be unread.
     Disconnected,
 }
 
-/// Receives the events of the loop.
+/// Handles the events of the loop.
 pub(crate) trait Handler {
     /// Called when a source has become ready.
     fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context);
     /// Called when a timer has expired.
     fn timer_expired(&mut self, event: TimerEvent, context: &mut Context);
-    /// Returns whether the loop is to end.
+    /// Returns whether the loop should stop.
     fn is_finished(&self) -> bool;
 }
 
-/// Runs the event loop until the handler has finished. Fails if the system cannot wait for events.
+/// Runs the event loop until the handler is finished. Fails if polling fails.
 pub(crate) fn run(poll: &mut Poll, handler: &mut impl Handler, context: &mut Context) -> io::Result<()> {
     let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
     while !handler.is_finished() {
@@ -125,8 +125,8 @@
     Ok(())
 }
 
-/// Handles the events of one poll. Clients that have disconnected come first: other events may be what their
-/// queries were waiting for, and nothing must be sent for them any more.
+/// Handles the events of one poll. Client disconnects are handled first, because other events may allow
+/// queries to proceed and nothing may be sent for a disconnected client.
 fn handle_poll_events(events: &Events, handler: &mut impl Handler, context: &mut Context) {
     let ready = events.iter().map(|event| (EventSource::from(event.token()), readiness(event)));
     let (disconnected_clients, others): (Vec<_>, Vec<_>) =
@@ -144,8 +144,8 @@
     }
 }
 
-/// Handles the timers that have expired by now. The clock is read once: a timer that a handler sets for its
-/// own present time waits for the next round, so that the sockets are polled in between.
+/// Handles all expired timers. The clock is read once, so that a timer which a handler sets for the current
+/// time is handled in the next iteration, after the sockets were polled.
 fn handle_expired_timers(handler: &mut impl Handler, context: &mut Context) {
     let now = context.reactor.now();
     while let Some(event) = context.reactor.timers.pop_expired(now) {
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the connection table, the event tokens, the timer queue and the clock.
+//! Tests of the connection table, event tokens, timer queue and clock.
 
 use mio::Token;
 use rstest::rstest;
@@ -7,7 +7,7 @@
 use super::*;
 use crate::time::Span;
 
-/// A time of the system clock (Unix seconds).
+/// System time at the start of the clock (Unix seconds).
 const UNIX_SECONDS: f64 = 1_764_700_000.0;
 
 #[test]
@@ -65,9 +65,10 @@
     assert_eq!(timers.next_expiry(), None);
 }
 
-/// A policy that sets a timer must not be called before the time that it asked for.
+/// Converting policy time to an instant and back must be exact: otherwise a timer could call the policy
+/// before the time that it asked for.
 #[test]
-fn a_timer_of_the_policy_expires_at_its_time_and_not_before() {
+fn policy_time_survives_conversion_to_an_instant_and_back() {
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..10_000 {
         let clock = Clock::new(Instant::now(), LocalInstant::from_secs(UNIX_SECONDS + rng.f64()));
@@ -83,7 +84,7 @@
 #[case::before_the_start(UNIX_SECONDS - 1.5, 0)]
 #[case::zero(0.0, 0)]
 #[case::minus_infinity(f64::NEG_INFINITY, 0)]
-fn a_time_of_the_policy_is_an_instant_from_the_start_on(#[case] seconds: f64, #[case] millis: u64) {
+fn policy_times_before_the_start_are_clamped_to_it(#[case] seconds: f64, #[case] millis: u64) {
     let start = Instant::now();
     let clock = Clock::new(start, LocalInstant::from_secs(UNIX_SECONDS));
     assert_eq!(clock.instant_of(LocalInstant::from_secs(seconds)), start + Duration::from_millis(millis));
@@ -94,7 +95,7 @@
 #[case::largest(f64::MAX)]
 #[case::infinite(f64::INFINITY)]
 #[case::not_a_number(f64::NAN)]
-fn a_time_that_is_out_of_range_never_comes(#[case] seconds: f64) {
+fn out_of_range_times_are_clamped_to_the_far_future(#[case] seconds: f64) {
     let start = Instant::now();
     let clock = Clock::new(start, LocalInstant::from_secs(UNIX_SECONDS));
     let fifty_years = Duration::from_secs(50 * 365 * 24 * 60 * 60);
@@ -107,6 +108,6 @@
 #[case(0.0, Duration::ZERO)]
 #[case(-0.25, Duration::ZERO)]
 #[case(f64::NEG_INFINITY, Duration::ZERO)]
-fn a_negative_duration_counts_as_zero(#[case] seconds: f64, #[case] expected: Duration) {
+fn negative_spans_become_zero_durations(#[case] seconds: f64, #[case] expected: Duration) {
     assert_eq!(duration_of(Span::from_secs(seconds)), expected);
 }
--- a/src/net/reactor/timers.rs
+++ b/src/net/reactor/timers.rs
@@ -1,4 +1,4 @@
-//! Timers in the order in which they expire.
+//! Timer queue, ordered by expiry time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,33 +6,33 @@
 
 use super::connection_table::ConnectionId;
 
-/// What a timer was set for. Timers cannot be cancelled: their receiver checks whether they still apply.
+/// The purpose of a timer. Timers cannot be cancelled; the receiver checks whether the event still applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerEvent {
-    /// A timer of the policy, with the cookie by which the policy knows it.
+    /// Timer set by the policy, identified by its cookie.
     Policy(u64),
-    /// Accepting clients is tried again after an error.
+    /// Retry accepting clients after an error.
     RetryAccept,
-    /// Connections of idle clients are looked for.
+    /// Close idle client connections.
     IdleSweep,
-    /// A client connection has missed its deadline, is to run its next cycle (input is left that no event
-    /// announces), or is to be registered again after the system lacked memory for that.
+    /// A client connection has reached its deadline, must run its next cycle (input is left for which no poll
+    /// event comes), or must be registered again after the system was out of memory.
     Client(ConnectionId),
-    /// A deadline of a connection to an endpoint.
+    /// Deadline of a connection to an endpoint.
     Backend(ConnectionId),
-    /// A deadline of a connection to the discovery service.
+    /// Deadline of a connection to the discovery service.
     Discovery(ConnectionId),
     /// The grace period of the shutdown is over.
     GracePeriodOver,
-    /// The kill is near: blocking requests, which have unread input behind them, are ended. Repeats until
-    /// the process ends.
+    /// The kill is near: end blocking requests, which have unread input behind them. Repeats until the
+    /// process exits.
     EndBlockingRequests,
-    /// Reading the configuration is tried again after an error.
+    /// Retry the configuration reload after an error.
     RetryReload,
 }
 
-/// A timer in the queue. Timers are ordered by time, and at the same time by the order in which they were
-/// set.
+/// A pending timer. Ordered by expiry time; timers that expire at the same time, by the order in which they
+/// were set.
 struct Timer {
     expires_at: Instant,
     sequence: u64,
@@ -60,11 +60,11 @@
 
 impl Eq for Timer {}
 
-/// The timers that have not expired.
+/// Pending timers.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: BinaryHeap<Reverse<Timer>>,
-    /// The number of timers set since the start.
+    /// Number of timers set since startup; the source of sequence numbers.
     timers_set: u64,
 }
 
@@ -75,13 +75,13 @@
         self.timers.push(Reverse(Timer { expires_at, sequence: self.timers_set, event }));
     }
 
-    /// Returns when the next timer expires.
+    /// Returns the expiry time of the next timer, or `None` if no timer is pending.
     pub fn next_expiry(&self) -> Option<Instant> {
         let Reverse(next) = self.timers.peek()?;
         Some(next.expires_at)
     }
 
-    /// Removes the next timer that has expired at `now`.
+    /// Removes the next timer and returns its event, if the timer has expired by `now`.
     pub fn pop_expired(&mut self, now: Instant) -> Option<TimerEvent> {
         if self.next_expiry()? > now {
             return None;
--- a/src/net/reactor/tokens.rs
+++ b/src/net/reactor/tokens.rs
@@ -1,5 +1,5 @@
-//! The sources of poll events, and their form as tokens of `mio`. A token holds, from its highest bit down,
-//! the kind of the source, the generation of the connection and the index of the connection.
+//! Sources of poll events and their encoding as `mio` tokens. A token holds, from the most significant bit
+//! down, the kind of the source, the generation of the connection and its slot index.
 
 use mio::Token;
 
@@ -14,18 +14,18 @@
 const BACKEND: usize = 3;
 const DISCOVERY: usize = 4;
 
-// A token must hold all three parts.
+// A token must have room for the kind, the generation and the index.
 const _: () = assert!(usize::BITS == 64);
 const _: () = assert!(DISCOVERY <= usize::MAX >> KIND_SHIFT);
 
 /// The source of a poll event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventSource {
-    /// The socket that accepts clients.
+    /// The listening socket.
     Listener,
-    /// The signals sent to the process.
+    /// Signals sent to the process.
     Signals,
-    /// The connection of a client.
+    /// A client connection.
     Client(ConnectionId),
     /// A connection to an endpoint.
     Backend(ConnectionId),
@@ -34,7 +34,7 @@
 }
 
 impl EventSource {
-    /// Whether this is the connection of a client.
+    /// Returns whether the source is a client connection.
     pub fn is_client(self) -> bool {
         matches!(self, EventSource::Client(_))
     }
