--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the parts of the network code. They are independent of the wire protocols.
+//! Types exchanged between the network modules, independent of the wire protocols.
 
 use std::ops::Range;
 use std::rc::Rc;
@@ -10,28 +10,28 @@
 use crate::interface::{EndpointId, LoadReport, Outcome, RequestId, Role, UpdateKind};
 use crate::time::{ClusterInstant, LogPosition};
 
-/// What a client receives when its session starts, and repeats to cancel its query.
+/// Sent to the client in BackendKeyData; the client presents it again in a CancelRequest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CancelKey {
-    /// The process that serves the session in PostgreSQL. The pooler draws a random number.
+    /// Process ID of the server process in PostgreSQL. The pooler sends a random number instead.
     pub process_id: u32,
-    /// A random number.
+    /// Random secret key.
     pub secret: u32,
 }
 
-/// A statement as the client wrote it.
+/// A statement as sent by the client.
 #[derive(Debug)]
 pub(crate) struct Statement {
-    /// The text, with the comment that describes the query.
+    /// SQL text, including the leading query comment.
     pub text: Box<str>,
-    /// Where the text holds the client's timeout (milliseconds, in decimal digits).
+    /// Byte range of the client's timeout in `text` (decimal milliseconds).
     pub timeout_range: Range<usize>,
-    /// The memory that the text takes, once it is granted.
+    /// Memory reservation for `text`; `None` until it is granted.
     pub memory: Option<MemoryReservation>,
 }
 
 impl Statement {
-    /// The text with another timeout, which is written in milliseconds without a fraction, at least one.
+    /// Returns the text with its timeout replaced by `timeout`, in whole milliseconds and at least 1.
     pub fn with_timeout(&self, timeout: Duration) -> Vec<u8> {
         let before = &self.text[..self.timeout_range.start];
         let after = &self.text[self.timeout_range.end..];
@@ -40,58 +40,58 @@
     }
 }
 
-/// A client's query and what its comment says about it.
+/// A client query and the fields parsed from its comment.
 #[derive(Debug)]
 pub(crate) struct Query {
-    /// The identifier that the client gave the request.
+    /// Request ID chosen by the client.
     pub id: String,
-    /// The name of its class.
+    /// Class name.
     pub class: String,
-    /// The name of its tenant.
+    /// Tenant name.
     pub tenant: String,
-    /// The group that holds its data.
+    /// Group that holds the data.
     pub group: u32,
-    /// How long the client waits, counted from when the query was received.
+    /// Client timeout, counted from when the query was received.
     pub timeout: Duration,
-    /// The time of the commit that the query must see, where the client carries one.
+    /// Commit time that the query must observe, if the client sent one.
     pub session_token: Option<ClusterInstant>,
     /// Whether the query carries an idempotency key.
     pub has_idempotency_key: bool,
-    /// Names the session that the query belongs to: the first quoted string of the statement, if it has one.
-    /// Escaped quotes are not handled: the key of `'it''s'` is `it`.
+    /// Identifies the session: the first quoted string in the statement, if any. Escaped quotes are not
+    /// handled: the key of `'it''s'` is `it`.
     pub session_key: Option<String>,
-    /// The statement to forward.
+    /// Statement to forward.
     pub statement: Statement,
 }
 
-/// Why a query cannot be executed. The texts are sent to the client.
+/// Why a query cannot be executed. The error texts are sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum InvalidQuery {
-    /// The settings do not name its class.
+    /// The class is not defined in the settings.
     #[error("unknown class")]
     UnknownClass,
-    /// Its class requires an idempotency key, and it carries none.
+    /// The class requires an idempotency key and the query carries none.
     #[error("this class needs a key")]
     MissingIdempotencyKey,
-    /// Another request of the same identifier is in progress.
+    /// Another request with the same ID is in progress.
     #[error("this id is in use")]
     DuplicateId,
-    /// An endpoint rejected the statement, as any other would.
+    /// An endpoint rejected the statement with an error that every endpoint would return.
     #[error("no database host takes this statement")]
     RejectedByEndpoint,
 }
 
-/// The final answer to a query.
+/// The final response to a query.
 #[derive(Debug)]
 pub(crate) enum Response {
-    /// The value, in the form in which the endpoint sent it.
+    /// The result, as encoded by the endpoint.
     Value(Vec<u8>),
-    /// A retry by the client is harmless: the query was not executed, or a second execution has no effect.
+    /// The client can safely retry: the query was not executed, or a second execution has no effect.
     Rejected {
-        /// How long the client should wait before it retries; none for no advice.
+        /// How long the client should wait before a retry; `None` to send no Retry-After.
         retry_after: Option<Duration>,
     },
-    /// No answer was received; the query may have been executed.
+    /// No result was received; the query may have been executed.
     Failed,
     /// The query was cancelled at the client's request.
     Cancelled,
@@ -99,18 +99,18 @@
     Invalid(InvalidQuery),
 }
 
-/// An attempt of a request, as it is handed to the backend.
+/// One attempt of a request, to be executed by the backend.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptTask {
     /// The request.
     pub request: RequestId,
-    /// The number of the attempt among those of its request, from 0.
+    /// Attempt number within the request, starting at 0.
     pub number: usize,
-    /// What to send.
+    /// Statement to send.
     pub statement: Rc<Statement>,
 }
 
-/// Something to send to an endpoint.
+/// A unit of work for an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) enum Task {
     /// An attempt of a request.
@@ -119,33 +119,33 @@
     HealthCheck,
 }
 
-/// How a task ended.
+/// The result of a task.
 #[derive(Debug)]
 pub(crate) struct Completion {
     /// The task.
     pub task: Task,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the task was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// Time since it was handed to the backend.
+    /// Time since the task was passed to the backend.
     pub elapsed: Duration,
-    /// The log position that came with the answer.
+    /// Log position reported with the reply.
     pub log_position: Option<LogPosition>,
-    /// The role that came with the answer.
+    /// Role reported with the reply.
     pub role: Option<Role>,
-    /// The load report that came with the answer; empty where none came.
+    /// Load report received with the reply; empty if there was none.
     pub report: LoadReport,
-    /// The value for the client, if any.
+    /// Result for the client; empty if there is none.
     pub value: Vec<u8>,
 }
 
-/// What the connections report to the pooler.
+/// An event reported to the pooler by a connection.
 #[derive(Debug)]
 pub(crate) enum Event {
     /// A client has sent a query.
     QueryReceived {
-        /// The connection of the client.
+        /// The client connection.
         client: ConnectionId,
         /// The query.
         query: Box<Query>,
@@ -154,12 +154,12 @@
     },
     /// A client has disconnected while its query was in progress.
     ClientDisconnected(ConnectionId),
-    /// The cancellation of the query of the client with this key was requested.
+    /// A CancelRequest with this key was received.
     CancelRequested(CancelKey),
     /// An attempt or a health check has ended.
     TaskCompleted(Box<Completion>),
     /// The endpoint list was updated.
     EndpointsUpdated(UpdateKind, Vec<ListedEndpoint>),
-    /// The watch of the endpoint list has failed.
+    /// The endpoint list watch has failed.
     WatchFailed,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,15 +1,15 @@
-//! The network side of the pooler: sockets, wire protocols and timers. [`Policy`](crate::Policy) decides what
-//! is sent where.
+//! Network I/O: sockets, wire protocols and timers. Routing decisions are made by
+//! [`Policy`](crate::Policy).
 //!
-//! - [`reactor`]: the event loop, the timers and the clock.
-//! - [`frontend`]: the connections of clients.
-//! - [`backend`]: the connections to endpoints.
-//! - [`discovery`]: the watch of the endpoint list.
-//! - [`pooler`]: passes the events of these to the policy and executes its actions.
-//! - [`shutdown`]: what happens between SIGTERM and the kill.
-//! - [`messages`]: the messages between these modules.
-//! - [`postgres`]: PostgreSQL's messages.
-//! - [`buffer`]: the buffers of the connections and their memory budget.
+//! - [`reactor`]: event loop, timers and clock.
+//! - [`frontend`]: client connections.
+//! - [`backend`]: connections to endpoints.
+//! - [`discovery`]: endpoint list watch.
+//! - [`pooler`]: passes events from these modules to the policy and executes the resulting actions.
+//! - [`shutdown`]: graceful shutdown.
+//! - [`messages`]: types exchanged between these modules.
+//! - [`postgres`]: PostgreSQL protocol messages.
+//! - [`buffer`]: connection buffers and their shared memory budget.
 
 mod backend;
 mod buffer;
@@ -28,12 +28,12 @@
 pub(crate) use pooler::{serve, ServeError};
 use reactor::Reactor;
 
-/// The state that all callbacks of the reactor share.
+/// State shared by all reactor callbacks.
 pub(crate) struct Context {
-    /// Registers sockets, sets timers and tells the time.
+    /// Registers sockets, sets timers and reads the clock.
     reactor: Reactor,
-    /// Events that are still to be handled, in their order.
+    /// Unhandled events, oldest first.
     events: VecDeque<Event>,
-    /// What has happened since the start.
+    /// Operational counters since startup.
     counters: Counters,
 }
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -1,76 +1,78 @@
-//! The graceful shutdown: what happens between SIGTERM and the kill.
+//! Graceful shutdown, from SIGTERM until the process exits or is killed.
 //!
-//! Instants count from the first SIGTERM or SIGINT; later ones change nothing.
+//! Times are relative to the first SIGTERM or SIGINT; further signals have no effect.
 //!
-//! | Instant | What happens | Function |
+//! | Time | What happens | Function |
 //! | --- | --- | --- |
 //! | 0 | The grace period starts. (1) | [`GracefulShutdown::start`] |
 //! | [`GRACE_PERIOD`] | Draining starts. (2) | `Pooler::start_draining` |
 //! | while draining | A connection is closed once all its queries are answered. | `Connection::can_close` |
-//! | while draining | A query that is received now is rejected with 57P03. (3) | [`Drain::rejects`] |
+//! | while draining | Newly received queries are rejected with 57P03. (3) | [`Drain::rejects`] |
 //! | [`KILL_MARGIN`] before the kill | Blocking requests are ended. (4) | `Pooler::end_blocking_requests` |
-//! | counted deadline (5) + [`KILL_DELAY`] | The earliest kill. | [`GracefulShutdown::earliest_kill`] |
-//! | the listener and the last client connection are closed | The process ends. (6) | `Pooler::is_finished` |
+//! | counted deadline (5) + [`KILL_DELAY`] | Earliest kill. | [`GracefulShutdown::earliest_kill`] |
+//! | listener and last client connection are closed | The process exits. (6) | `Pooler::is_finished` |
 //!
-//! 1. Connections and queries are accepted as before, until the clients have learned of the shutdown.
-//! 2. The connections in the listener's queue are accepted, then it is closed. Closing it earlier would reset
-//!    them, with the queries sent on them.
-//! 3. The process may be killed before the query ends. A query that was received earlier is executed.
-//! 4. A blocking request has unread input of its client behind it, be it a complete query or not. It gets its
-//!    final answer early, so that queries in that input are answered before the kill. Repeated every
-//!    [`BLOCKING_REQUEST_INTERVAL`].
-//! 5. The longest deadline of all classes, of which [`MAX_COUNTED_DEADLINE`] at most counts: a request with a
-//!    longer deadline may be cut off by the kill.
+//! 1. Connections and queries are accepted as before, to give clients time to learn of the shutdown.
+//! 2. The listener's backlog is accepted before the listener is closed. Closing it first would reset these
+//!    connections and lose the queries already sent on them.
+//! 3. The process may be killed before such a query completes. Queries received earlier are executed.
+//! 4. A request is blocking if its connection has unread input behind it, whether or not that input holds a
+//!    complete query (head-of-line blocking). It gets its final response early, so that the queries behind it
+//!    are answered before the kill. Repeated every [`BLOCKING_REQUEST_INTERVAL`].
+//! 5. The longest deadline of all classes, capped at [`MAX_COUNTED_DEADLINE`]: requests with a longer
+//!    deadline may be cut off by the kill.
 //! 6. Only while draining. Attempts that no client waits for are dropped.
 
 use std::time::{Duration, Instant};
 
 use super::reactor::{Reactor, TimerEvent};
 
-/// How long connections and queries are accepted as before. Clients connect for up to 0.4 s after SIGTERM; a
-/// query received more than [`KILL_DELAY`] after it may be lost in the kill, since its deadline may be later.
+/// How long connections and queries are still accepted. Clients open connections for up to 0.4 s after
+/// SIGTERM. A query received more than [`KILL_DELAY`] after SIGTERM may be lost to the kill, since its
+/// deadline may be later than the kill.
 const GRACE_PERIOD: Duration = Duration::from_millis(600);
-/// Retry-After of rejected queries, as far as the settings allow it. By then another pooler accepts the
+/// Retry-After of rejected queries, capped by the settings. After this time another pooler accepts the
 /// client's connections.
 const RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Time from the longest deadline to the earliest kill.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The part of the longest deadline for which the kill waits at most.
+/// The kill waits for the longest deadline, but at most this long.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Time before the earliest kill in which no query may wait behind another.
+/// Period before the earliest kill in which no query may wait behind another.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// Interval at which blocking requests are searched for in that time.
+/// Interval between checks for blocking requests within [`KILL_MARGIN`].
 const BLOCKING_REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far the shutdown has come. `Draining` starts when [`GracefulShutdown`] hands out its [`Drain`].
+/// Phase of the shutdown. `Draining` starts when [`GracefulShutdown`] returns its [`Drain`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// No shutdown was requested.
     Running,
-    /// A shutdown was requested. Connections and queries are still accepted.
+    /// Shutdown was requested. Connections and queries are still accepted.
     GracePeriod,
-    /// No connection is accepted any more. Each open one is closed once its queries are answered.
+    /// No new connections are accepted. Each open connection is closed once its queries are answered.
     Draining,
 }
 
-/// Decides when each phase of the graceful shutdown starts. The pooler owns it and passes [`Drain`] on.
+/// State machine of the graceful shutdown. Owned by the pooler, which passes [`Drain`] to the frontend.
 #[derive(Debug)]
 pub(super) struct GracefulShutdown {
     phase: Phase,
     longest_deadline: Duration,
-    /// None for no advice.
+    /// `None` to send no Retry-After.
     retry_after: Option<Duration>,
 }
 
 impl GracefulShutdown {
-    /// Creates the state before a shutdown is requested. `longest_deadline` is that of all classes,
-    /// `max_retry_after` the longest Retry-After that the settings allow; none without such advice.
+    /// Creates the state before a shutdown is requested. `longest_deadline` is the longest of all classes and
+    /// `max_retry_after` the longest Retry-After that the settings allow, or `None` if they allow none.
     pub fn new(longest_deadline: Duration, max_retry_after: Option<Duration>) -> GracefulShutdown {
         let retry_after = max_retry_after.map(|longest| longest.min(RETRY_AFTER));
         GracefulShutdown { phase: Phase::Running, longest_deadline, retry_after }
     }
 
-    /// Starts the grace period, unless a shutdown was requested before. Sets the timers of what follows.
+    /// Starts the grace period and sets the timers of the later phases. Has no effect once a shutdown was
+    /// requested.
     pub fn start(&mut self, reactor: &mut Reactor) {
         if self.phase != Phase::Running {
             return;
@@ -82,44 +84,45 @@
         reactor.set_timer(self.earliest_kill(now) - KILL_MARGIN, TimerEvent::EndBlockingRequests);
     }
 
-    /// Returns when a process that was asked to end at `requested_at` may be killed.
+    /// Returns the earliest time at which the process may be killed if shutdown was requested at
+    /// `requested_at`.
     fn earliest_kill(&self, requested_at: Instant) -> Instant {
         requested_at + self.longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY
     }
 
-    /// Starts the phase `Draining` at `now`, and returns what holds for client connections from then on.
+    /// Enters the phase `Draining` and returns the rules that apply to client connections from `now` on.
     pub fn start_draining(&mut self, now: Instant) -> Drain {
         self.phase = Phase::Draining;
         Drain { started_at: now, retry_after: self.retry_after }
     }
 
-    /// Returns whether the process ends once no client is connected.
+    /// Returns whether the process exits once no client is connected.
     pub fn is_draining(&self) -> bool {
         self.phase == Phase::Draining
     }
 
-    /// Schedules the next search for blocking requests.
+    /// Schedules the next check for blocking requests.
     pub fn schedule_blocking_request_check(&self, reactor: &mut Reactor) {
         reactor.set_timer(reactor.now() + BLOCKING_REQUEST_INTERVAL, TimerEvent::EndBlockingRequests);
     }
 }
 
-/// What the phase `Draining` means for queries: which are rejected, and with which Retry-After.
+/// Rules for queries during the phase `Draining`: which are rejected, and with which Retry-After.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Drain {
     started_at: Instant,
-    /// None for no advice.
+    /// `None` to send no Retry-After.
     retry_after: Option<Duration>,
 }
 
 impl Drain {
-    /// Returns whether a query that was received at this instant is rejected: the process may end before the
-    /// query does, and another pooler can execute it.
+    /// Returns whether a query received at `received_at` is rejected: the process may be killed before the
+    /// query completes, while another pooler can execute it.
     pub fn rejects(&self, received_at: Instant) -> bool {
         received_at > self.started_at
     }
 
-    /// Returns the Retry-After of rejected queries; none for no advice.
+    /// Returns the Retry-After of rejected queries, or `None` to send none.
     pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
--- a/src/net/shutdown/tests.rs
+++ b/src/net/shutdown/tests.rs
@@ -5,7 +5,7 @@
 
 const LONGEST_DEADLINE: Duration = Duration::from_secs(8);
 
-fn draining_with(max_retry_after: Option<Duration>) -> Drain {
+fn drain_with_max_retry_after(max_retry_after: Option<Duration>) -> Drain {
     GracefulShutdown::new(LONGEST_DEADLINE, max_retry_after).start_draining(Instant::now())
 }
 
@@ -37,7 +37,7 @@
 #[case::shorter(Some(Duration::from_millis(20)), Some(Duration::from_millis(20)))]
 #[case::longer(Some(Duration::from_secs(1)), Some(RETRY_AFTER))]
 fn the_settings_limit_the_retry_after(#[case] longest: Option<Duration>, #[case] expected: Option<Duration>) {
-    assert_eq!(draining_with(longest).retry_after(), expected);
+    assert_eq!(drain_with_max_retry_after(longest).retry_after(), expected);
 }
 
 #[test]
