--- a/src/net/backend/connect_error.rs
+++ b/src/net/backend/connect_error.rs
@@ -1,26 +1,26 @@
-//! The reasons why no connection to an endpoint can be opened.
+//! Errors of opening a connection to an endpoint.
 
 use std::io::{self, ErrorKind};
 
 use crate::interface::Outcome;
 
-/// Why no connection was opened.
+/// Why a connection could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
     /// The endpoint list does not contain the endpoint.
-    #[error("the endpoint is not in the endpoint list")]
+    #[error("endpoint is not in the endpoint list")]
     UnknownEndpoint,
-    /// All connections that the limit allows are in use.
-    #[error("the limit on connections to endpoints is reached")]
+    /// The connection limit is reached and no connection is idle.
+    #[error("limit of connections to endpoints reached")]
     TooManyConnections,
     /// The operating system could not open a connection.
-    #[error("cannot open a connection: {0}")]
+    #[error("failed to open a connection: {0}")]
     Io(#[from] io::Error),
 }
 
 impl ConnectError {
-    /// The outcome of the task that needed the connection. A failure that this process caused itself, such as
-    /// a lack of descriptors, is not attributed to the endpoint.
+    /// Returns the outcome of the task that needed the connection. Local failures, such as a lack of file
+    /// descriptors, are not attributed to the endpoint.
     pub fn outcome(&self) -> Outcome {
         match self {
             ConnectError::Io(error) if is_caused_by_endpoint(error.kind()) => Outcome::ConnectFailed,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Whether an error of this kind says that the endpoint, or the network to it, is at fault.
+/// Returns whether an error of this kind is attributed to the endpoint or the network path to it.
 fn is_caused_by_endpoint(kind: ErrorKind) -> bool {
     matches!(
         kind,
--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint: connects, starts the session, sends queries and reads their replies.
+//! A connection to an endpoint: connects, starts the session, sends queries and reads their replies.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,30 +15,30 @@
 use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
 use crate::net::reactor::{ConnectionId, EventSource, Reactor};
 
-/// The user and the database that the startup message names.
+/// User and database in the startup message.
 const USER: &str = "app";
 const DATABASE: &str = "shop";
 
-/// A query states how much time its client has left. When the endpoint receives it, that may be too much by
-/// at most this: otherwise the endpoint would work for a client that no longer waits.
+/// Maximum by which the timeout stated in a query may exceed the time that its client still waits when the
+/// endpoint receives it. With a larger excess the endpoint would work for a client that no longer waits.
 const MAX_TIMEOUT_EXCESS: Duration = Duration::from_millis(150);
-/// The part of [`MAX_TIMEOUT_EXCESS`] that is left for the way from the socket to the endpoint.
+/// The part of [`MAX_TIMEOUT_EXCESS`] reserved for transmission from the socket to the endpoint.
 const TRANSMISSION_MARGIN: Duration = Duration::from_millis(50);
-/// How long a query may wait in the output buffer.
+/// Maximum time of a query in the output buffer.
 const QUERY_WRITE_TIMEOUT: Duration = MAX_TIMEOUT_EXCESS.saturating_sub(TRANSMISSION_MARGIN);
 
-/// How far an exchange has come.
+/// Progress of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    /// It waits for the peer.
+    /// The exchange waits for the peer.
     Pending,
-    /// Its reply has ended and the connection can carry the next exchange.
+    /// The reply is complete and the connection can be reused.
     Done,
-    /// It has this outcome and the connection must be closed; also where the pooler cancels the exchange,
-    /// since the rest of its reply is not read.
+    /// The exchange ended with this outcome and the connection must be closed. Also used when the pooler
+    /// cancels the exchange, since the rest of the reply is not read.
     Failed(Outcome),
-    /// It has this outcome because the peer sent data that belongs to no valid reply. The connection must be
-    /// closed.
+    /// The exchange ended with this outcome because the peer sent data that is not part of a valid reply. The
+    /// connection must be closed.
     Malformed(Outcome),
 }
 
@@ -52,23 +52,24 @@
 /// A connection to an endpoint.
 pub(super) struct Connection {
     endpoint: EndpointId,
-    /// The address of the endpoint when the connection was opened.
+    /// Address of the endpoint when the connection was opened.
     address: SocketAddr,
     stream: TcpStream,
-    /// How long it may take to become ready for a query, and a reply to end once it has begun: neither waits
-    /// for the execution of a query. The limit of health checks for the same reason.
+    /// Time limit for the connection to become ready for a query, and for a reply to complete once it has
+    /// started: neither waits for the execution of a query. Health checks have the same limit for the same
+    /// reason.
     connect_timeout: Duration,
-    /// When the present state has lasted too long.
+    /// Deadline of the current state.
     state_deadline: Instant,
     state: State,
     input: RingBuffer,
     output: RingBuffer,
-    /// The memory that the value of the reply takes.
+    /// Memory reservation for the value of the reply.
     value_memory: MemoryReservation,
 }
 
 impl Connection {
-    /// A connection whose stream is being established, to be used for this exchange.
+    /// Creates a connection for `exchange` whose stream is still being established.
     pub fn new(
         endpoint: EndpointId,
         address: SocketAddr,
@@ -96,27 +97,27 @@
         reactor.register(&mut self.stream, EventSource::Backend(id), interest)
     }
 
-    /// The endpoint.
+    /// Returns the endpoint.
     pub fn endpoint(&self) -> &EndpointId {
         &self.endpoint
     }
 
-    /// The address of the endpoint when the connection was opened.
+    /// Returns the address of the endpoint when the connection was opened.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// When the present state has lasted too long.
+    /// Returns the deadline of the current state.
     pub fn state_deadline(&self) -> Instant {
         self.state_deadline
     }
 
-    /// Whether the connection waits for an exchange.
+    /// Returns whether the connection is ready for an exchange.
     pub fn is_idle(&self) -> bool {
         self.state.is_idle()
     }
 
-    /// Whether the connection has an exchange whose query is not completely written yet.
+    /// Returns whether the connection has an exchange whose query is not completely written.
     pub fn has_unsent_query(&self) -> bool {
         match self.state {
             State::Connecting(_) | State::Starting(_) => true,
@@ -125,18 +126,18 @@
         }
     }
 
-    /// Whether data has been received that no exchange has consumed.
+    /// Returns whether data has been received that was not processed as part of an exchange.
     pub fn has_unread_input(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Whether nothing of an earlier exchange is left to be read or written.
+    /// Returns whether no data of an earlier exchange is left to be read or written.
     pub fn has_empty_buffers(&self) -> bool {
         self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Whether an idle connection is still open and in sync. Reads from the socket, so that no query is sent
-    /// on a connection that the peer has closed while that event is still unhandled.
+    /// Returns whether an idle connection is still open and in sync. Reads from the socket, so that no query
+    /// is sent on a connection which the peer has closed but whose poll event is not handled yet.
     pub fn is_usable(&mut self) -> bool {
         let read = self.input.read_from(&mut self.stream);
         matches!(read, Ok(ReadStatus::WouldBlock)) && self.input.is_empty()
@@ -150,22 +151,22 @@
         }
     }
 
-    /// Withdraws the exchange, if there is one, with what has been received of its reply.
+    /// Takes the exchange, if any, with the part of its reply received so far.
     pub fn take_exchange(&mut self) -> Option<(Exchange, Reply)> {
         self.state.take_exchange()
     }
 
-    /// Ends an exchange whose reply has ended. The connection is idle from then on, until `idle_deadline`.
+    /// Ends an exchange whose reply is complete. The connection then stays idle until `idle_deadline`.
     pub fn finish_exchange(&mut self, idle_deadline: Instant) -> Option<(Exchange, Reply)> {
         let finished = self.take_exchange()?;
         self.state_deadline = idle_deadline;
-        // Releasing memory always succeeds.
+        // Shrinking a reservation cannot fail.
         let _ = self.value_memory.resize(0);
         Some(finished)
     }
 
-    /// Reads, processes and writes as far as possible without blocking. Once a reply has begun, the rest of
-    /// it is due within the connect timeout: a reply may announce more data than its sender ever sends.
+    /// Reads, processes and writes as far as possible without blocking. Once a reply has started, the rest is
+    /// due within the connect timeout: a reply may announce more data than the endpoint ever sends.
     pub fn run_cycle(&mut self, now: Instant) -> Progress {
         let progress = self.advance(now);
         let has_unread_input = self.has_unread_input();
@@ -178,7 +179,7 @@
         progress
     }
 
-    /// Returns how the exchange ends because the present state has lasted too long.
+    /// Returns how the exchange ends now that the deadline of the current state has passed.
     pub fn expire(&mut self, now: Instant) -> Progress {
         match self.state.expiry(now, self.connect_timeout, self.write_status()) {
             Expiry::ReplyStalled => self.reject_malformed(),
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Reads, processes and writes until the peer must act or the exchange ends.
+    /// Reads, processes and writes until the connection must wait for the peer or the exchange ends.
     fn advance(&mut self, now: Instant) -> Progress {
         if matches!(self.state, State::Connecting(_)) {
             match self.finish_connecting() {
@@ -199,7 +200,7 @@
             if let Err(progress) = self.write_output(now) {
                 return progress;
             }
-            // What was received before a reset is still processed.
+            // Data received before a reset is still processed.
             let read = self.input.read_from(&mut self.stream).unwrap_or(ReadStatus::EndOfStream);
             let unprocessed = self.input.len();
             let was_starting = self.state.is_starting();
@@ -211,7 +212,7 @@
                 return self.connection_lost();
             }
             // Readiness is edge-triggered: no further event comes for data left in the socket because the
-            // buffer was full, nor for a query that was queued just now.
+            // buffer was full, nor for a query that was just queued.
             let can_read_more = read == ReadStatus::Full && self.input.len() != unprocessed;
             let query_queued = was_starting && !self.state.is_starting();
             if !can_read_more && !query_queued {
@@ -220,8 +221,8 @@
         }
     }
 
-    /// Writes as much as possible. A query that was not written in time must not be written any more. Once
-    /// one is written, its exchange has all its time.
+    /// Writes as much as possible. A query that was not completely written by its write deadline must not be
+    /// written any more. Once it is written, the deadline of the exchange applies instead.
     fn write_output(&mut self, now: Instant) -> Result<(), Progress> {
         let is_query_waiting = self.state.is_busy() && self.write_status() == WriteStatus::Pending;
         if is_query_waiting && now >= self.state_deadline {
@@ -236,7 +237,7 @@
         Ok(())
     }
 
-    /// Checks whether the TCP connection has been established; if so, queues the startup message.
+    /// Checks whether the TCP connection is established, and if so queues the startup message.
     fn finish_connecting(&mut self) -> ConnectStatus {
         match self.stream.take_error() {
             Ok(None) => {}
@@ -245,7 +246,7 @@
         if self.stream.peer_addr().is_err() {
             return ConnectStatus::Pending;
         }
-        // Without it the connection is slower, but works.
+        // An error is ignored: without TCP_NODELAY the connection is slower but works.
         let _ = self.stream.set_nodelay(true);
         if let Some((exchange, _)) = self.take_exchange() {
             self.state = State::Starting(exchange);
@@ -256,8 +257,8 @@
         }
     }
 
-    /// Queues the query of an exchange. Fails without sending any of it if its time is over or memory is
-    /// short.
+    /// Queues the query of an exchange. Fails, with none of the query sent, if the deadline has passed or the
+    /// buffer capacity is exhausted.
     fn send_query(&mut self, exchange: Exchange, now: Instant) -> Progress {
         let is_expired = now >= exchange.deadline();
         let query = exchange.query_message(now);
@@ -272,7 +273,7 @@
         }
     }
 
-    /// Processes each complete message in the input buffer.
+    /// Processes all complete messages in the input buffer.
     fn process_messages(&mut self, now: Instant) -> Progress {
         loop {
             let message = match postgres::read_backend_message(&mut self.input) {
@@ -287,7 +288,7 @@
         }
     }
 
-    /// Processes one message as the present state requires.
+    /// Processes one message according to the current state.
     fn process_message(&mut self, message: &BackendMessage, now: Instant) -> Progress {
         if matches!(message.kind, BackendMessageKind::NoticeResponse | BackendMessageKind::BackendKeyData) {
             return Progress::Pending;
@@ -309,7 +310,7 @@
         }
     }
 
-    /// Processes a message of the session start. Sends the query once the session is ready.
+    /// Processes a message of the startup phase. Queues the query once the session is ready.
     fn process_startup_message(&mut self, message: &BackendMessage, now: Instant) -> Progress {
         match message.kind {
             BackendMessageKind::ParameterStatus => Progress::Pending,
@@ -325,13 +326,13 @@
         }
     }
 
-    /// Returns how the exchange ends because the connection has ended.
+    /// Returns how the exchange ends now that the connection is lost.
     fn connection_lost(&self) -> Progress {
         Progress::Failed(self.state.outcome_of_lost_connection(self.write_status()))
     }
 
-    /// Returns how the exchange ends because the peer sent data that belongs to no valid reply. Discards the
-    /// reply unless it proves that the request was not executed.
+    /// Returns how the exchange ends now that the peer has sent data that is not part of a valid reply.
+    /// Discards the reply unless it proves that the request was not executed.
     fn reject_malformed(&mut self) -> Progress {
         Progress::Malformed(self.state.outcome_of_malformed_reply())
     }
@@ -345,7 +346,7 @@
     }
 }
 
-/// The outcome of an exchange whose session the endpoint has refused to start.
+/// Returns the outcome of an exchange when the endpoint rejected the startup of the session.
 fn startup_error_outcome(body: &[u8]) -> Outcome {
     if postgres::parse_error_response(body).sqlstate == sqlstate::TOO_MANY_CONNECTIONS {
         Outcome::Overloaded
--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -7,11 +7,11 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Less than the kernel's buffers would otherwise hold.
+/// Socket buffer size in bytes, smaller than the kernel's default.
 const SOCKET_BUFFER: usize = 4096;
-/// Far more than fits into the buffers of both sockets.
+/// Far more bytes than fit into the buffers of both sockets.
 const STATEMENT_LENGTH: usize = 150_000;
-/// By how much the time that an endpoint is given may exceed the time that its client still waits.
+/// By how much the timeout stated in a query may exceed the time that the client still waits.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
 fn exchange_with_long_statement(started_at: Instant) -> Exchange {
@@ -21,7 +21,8 @@
     Exchange::new(Task::Attempt(attempt), started_at, TIMEOUT)
 }
 
-/// A connection whose session is started at an instant, to an endpoint that reads nothing more.
+/// Returns a connection that has started its session at `started_at`, and the socket of its endpoint, which
+/// reads nothing more.
 fn connection_with_blocked_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&listener).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
@@ -47,23 +48,23 @@
     while connection.state.is_starting() {
         assert_eq!(connection.run_cycle(started_at), Progress::Pending);
     }
-    assert!(!connection.has_empty_buffers(), "the query does not fit into the socket");
+    assert!(!connection.has_empty_buffers(), "the query should not fit into the socket buffers");
     (connection, endpoint)
 }
 
-/// A query states how long its client waits. Once it waited in the buffer for as long as its client did, and
-/// the endpoint received a time that was over.
+/// A query states how long its client waits. A query that stayed in the output buffer until its deadline used
+/// to reach the endpoint with a timeout that had already passed.
 #[test]
-fn a_query_that_waits_to_be_written_is_given_up_before_its_deadline_is_wrong() {
+fn an_unwritten_query_fails_before_its_stated_timeout_is_outdated() {
     let started_at = Instant::now();
     let (mut connection, _endpoint) = connection_with_blocked_query(started_at);
-    assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "it waits for too long");
+    assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "the write deadline is too late");
     let expired = connection.expire(started_at + DEADLINE_SLACK);
     assert_eq!(expired, Progress::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
-fn a_query_that_has_waited_too_long_is_not_written_when_the_endpoint_reads_again() {
+fn a_query_past_its_write_deadline_is_not_written_when_the_endpoint_reads_again() {
     let started_at = Instant::now();
     let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn a_query_that_is_written_has_all_its_time() {
+fn a_written_query_has_the_whole_deadline_of_its_exchange() {
     let started_at = Instant::now();
     let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
--- a/src/net/backend/exchange.rs
+++ b/src/net/backend/exchange.rs
@@ -1,4 +1,4 @@
-//! One task that is carried out over a connection, from its start to its completion.
+//! Execution of one task over a connection, from its start to its completion.
 
 use std::time::{Duration, Instant};
 
@@ -7,10 +7,10 @@
 use crate::net::postgres;
 use crate::net::{Context, Event, Task};
 
-/// The query that a health check sends. Its only value is the load report.
+/// Query sent by a health check. Its result is a single value, the load report.
 const LOAD_REPORT_QUERY: &[u8] = b"SHOW usage";
 
-/// A task and its times.
+/// A task with its start time and deadline.
 pub(super) struct Exchange {
     task: Task,
     started_at: Instant,
@@ -18,27 +18,28 @@
 }
 
 impl Exchange {
-    /// An exchange that starts now and may take `timeout`.
+    /// Creates an exchange that starts at `now` and must end within `timeout`.
     pub fn new(task: Task, now: Instant, timeout: Duration) -> Exchange {
         Exchange { task, started_at: now, deadline: now + timeout }
     }
 
-    /// What is carried out.
+    /// Returns the task.
     pub fn task(&self) -> &Task {
         &self.task
     }
 
-    /// When the task was handed to the backend.
+    /// Returns when the task was passed to the backend.
     pub fn started_at(&self) -> Instant {
         self.started_at
     }
 
-    /// When the result of the task is no longer wanted.
+    /// Returns when the result of the task is no longer needed.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// The Query message for the task. A statement announces the time that is left until the deadline.
+    /// Returns the Query message for the task. The statement of an attempt carries the time left until the
+    /// deadline.
     pub fn query_message(&self, now: Instant) -> Vec<u8> {
         match &self.task {
             Task::Attempt(attempt) => {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Queues the event that reports the end of the task.
+    /// Queues the event that reports the completion of the task.
     pub fn complete(self, endpoint: &EndpointId, outcome: Outcome, reply: Reply, context: &mut Context) {
         if self.lacks_load_report(outcome, &reply) {
             context.counters.unreadable_reports += 1;
@@ -59,7 +60,7 @@
         context.events.push_back(Event::TaskCompleted(Box::new(completion)));
     }
 
-    /// Whether a health check succeeded but its load report could not be parsed.
+    /// Returns whether this is a health check that succeeded without a readable load report.
     fn lacks_load_report(&self, outcome: Outcome, reply: &Reply) -> bool {
         matches!(self.task, Task::HealthCheck) && outcome == Outcome::Success && !reply.has_load_report()
     }
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -1,13 +1,13 @@
-//! The backend: holds the connections to endpoints and carries out attempts and health checks over them.
+//! Backend: holds the connections to endpoints and executes attempts and health checks over them.
 //!
-//! The end of each task is reported by an [`Event::TaskCompleted`](super::Event::TaskCompleted).
+//! The completion of each task is reported by [`Event::TaskCompleted`](super::Event::TaskCompleted).
 //!
-//! - [`pool`]: the known endpoints and the connections to them.
-//! - [`connection`]: one connection and its read, process and write cycle.
-//! - [`state`]: what a connection does at present, and how that ends when the connection fails.
-//! - [`exchange`]: one task with its deadline.
-//! - [`reply`]: what has been received in reply to one query.
-//! - [`connect_error`]: why no connection was opened.
+//! - [`pool`]: known endpoints and the connections to them.
+//! - [`connection`]: a connection and its read, process and write cycle.
+//! - [`state`]: connection states and the outcome of an exchange when the connection fails.
+//! - [`exchange`]: execution of one task, with its deadline.
+//! - [`reply`]: the reply to one query.
+//! - [`connect_error`]: errors of opening a connection.
 
 mod connect_error;
 mod connection;
@@ -32,23 +32,23 @@
 use pool::Pool;
 use reply::Reply;
 
-/// Idle connections are closed after this share of an endpoint's keepalive. A query that is sent while the
-/// endpoint closes its connection would end in a reset.
+/// Idle connections are closed after this fraction of the endpoint's keepalive time. A query sent while the
+/// endpoint closes the connection would end in a reset.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
-/// Carries out tasks on endpoints.
+/// Executes tasks on endpoints.
 pub(crate) struct Backend {
     pool: Pool,
     budget: MemoryBudget,
-    /// How long a connection stays idle until it is closed.
+    /// How long a connection may stay idle before it is closed.
     idle_timeout: Duration,
-    /// How long a connection may take to become ready for a query, and a reply to end once it has begun:
-    /// neither waits for the execution of a query.
+    /// Time limit for a connection to become ready for a query, and for a reply to complete once it has
+    /// started: neither waits for the execution of a query.
     connect_timeout: Duration,
 }
 
 impl Backend {
-    /// A backend without connections. `keepalive` is how long an endpoint leaves an idle connection open.
+    /// Creates a backend without connections. `keepalive` is how long endpoints keep idle connections open.
     pub fn new(
         max_connections: usize,
         budget: MemoryBudget,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Applies an update of the endpoint list. Queries that wait for a connection to an endpoint which has
-    /// stopped serving are not sent.
+    /// Applies an update of the endpoint list. Unsent queries to endpoints that stopped serving with it end
+    /// as [`NotSent`](Outcome::NotSent).
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
@@ -82,8 +82,9 @@
         self.pool.close_idle_connections(endpoint);
     }
 
-    /// Starts a task. Returns the connection that was chosen; it may be closed already, with the completion
-    /// of the task queued. Returns `None`, with the completion queued, where none could be opened.
+    /// Starts a task and returns the connection used for it, which may already be closed again with the
+    /// completion of the task queued. Returns `None`, with the completion queued, if no connection could be
+    /// opened.
     pub fn send(
         &mut self,
         task: Task,
@@ -125,7 +126,7 @@
         Some(id)
     }
 
-    /// Starts to establish a TCP connection to an endpoint.
+    /// Starts connecting to an endpoint.
     fn connect(&mut self, endpoint: &EndpointId) -> Result<(SocketAddr, TcpStream), ConnectError> {
         let address = self.pool.address(endpoint).ok_or(ConnectError::UnknownEndpoint)?;
         if !self.pool.ensure_capacity() {
@@ -135,17 +136,17 @@
         Ok((address, stream))
     }
 
-    /// Sets the timer of a new connection and registers it for events.
+    /// Sets the timer of a new connection and registers its socket for events.
     fn register(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
         context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
         if connection.register(id, &mut context.reactor).is_err() {
-            // The endpoint is not to blame for a shortage of this machine.
+            // A local resource shortage is not attributed to the endpoint.
             self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
         }
     }
 
-    /// Handles an event on a connection, which may be readable or writable.
+    /// Handles a poll event of a connection, which may be readable or writable.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
         let Some(connection) = self.pool.get_mut(id) else { return };
@@ -157,14 +158,14 @@
         self.handle_progress(id, progress, context);
     }
 
-    /// Handles a timer of a connection.
+    /// Handles an expired timer of a connection.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
         let now = context.reactor.now();
-        // Timers are not withdrawn: this one may belong to an earlier state of the connection.
+        // Timers are not cancelled: this one may belong to an earlier state of the connection.
         if !self.is_expired(id, now) {
             return;
         }
-        // What has been received by now still counts, even if its event has not been handled yet.
+        // Data already received still counts, even if its poll event is not handled yet.
         self.ready(id, context);
         if !self.is_expired(id, now) {
             return;
@@ -174,17 +175,18 @@
         self.handle_progress(id, progress, context);
     }
 
-    /// Whether a connection exists and its present state has lasted too long.
+    /// Returns whether the connection exists and the deadline of its state has passed.
     fn is_expired(&mut self, id: ConnectionId, now: Instant) -> bool {
         self.pool.get_mut(id).is_some_and(|connection| connection.state_deadline() <= now)
     }
 
-    /// Cancels the task on a connection by closing it, as after a failure; the endpoint sees only that.
+    /// Cancels the task on a connection by closing the connection, as after a failure. The endpoint gets no
+    /// other notice, such as a CancelRequest.
     pub fn cancel(&mut self, id: ConnectionId, context: &mut Context) {
         self.handle_progress(id, Progress::Failed(Outcome::Cancelled), context);
     }
 
-    /// Cancels the task on a connection whose query is not completely written yet.
+    /// Cancels the task on a connection if its query is not completely written.
     pub fn cancel_unsent(&mut self, id: ConnectionId, context: &mut Context) {
         if self.pool.get_mut(id).is_some_and(|connection| connection.has_unsent_query()) {
             self.cancel(id, context);
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Reports the end of an exchange and returns its connection to the pool.
+    /// Reports the completion of an exchange and returns its connection to the pool.
     fn finish_exchange(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
         let idle_deadline = context.reactor.now() + self.idle_timeout;
@@ -214,12 +216,12 @@
         let endpoint = connection.endpoint().clone();
         context.reactor.set_timer(idle_deadline, TimerEvent::Backend(id));
         self.pool.release(id);
-        // Without a complete result set the reply is invalid, but the request may have been executed.
+        // A reply without a complete result set is invalid, but the request may have been executed.
         let outcome = reply.outcome().unwrap_or(Outcome::Error);
         exchange.complete(&endpoint, outcome, reply, context);
     }
 
-    /// Counts malformed data, which either belongs to a reply or came without a request.
+    /// Counts malformed data, received either within a reply or while no request was pending.
     fn count_malformed(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
         if connection.is_idle() {
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Closes a connection and reports the end of its exchange, if it has one.
+    /// Closes a connection and reports the completion of its exchange, if any.
     fn close(&mut self, id: ConnectionId, outcome: Outcome, context: &mut Context) {
         let Some(mut connection) = self.pool.remove(id) else { return };
         if let Some((exchange, reply)) = connection.take_exchange() {
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The known endpoints, all connections to them, and which of these are idle.
+//! Connection pool: the known endpoints, the connections to them, and the idle ones among these.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,23 +10,23 @@
 use crate::net::reactor::{ConnectionId, ConnectionTable};
 use crate::time::ClusterInstant;
 
-/// The most idle connections to one endpoint.
+/// Maximum number of idle connections per endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 48;
-/// How long an endpoint that has left the endpoint list stays known; far longer than any deadline.
+/// How long an endpoint is kept after it was removed from the endpoint list; far longer than any deadline.
 const REMOVED_ENDPOINT_RETENTION: Duration = Duration::from_secs(60);
 
 /// An endpoint of the endpoint list.
 struct PooledEndpoint {
     address: SocketAddr,
-    /// When it last started; `None` for long ago.
+    /// When the endpoint last started; `None` if long ago.
     started_at: Option<ClusterInstant>,
-    /// When an update of the endpoint list last contained it, with whatever status.
+    /// When an update last contained the endpoint, whatever its status.
     last_listed_at: Instant,
-    /// Whether it has left the endpoint list.
+    /// Whether the endpoint was removed from the endpoint list.
     is_removed: bool,
-    /// Whether it is listed as serving.
+    /// Whether the endpoint is listed as serving.
     is_serving: bool,
-    /// Connections that are ready for a query, the most recently used one last.
+    /// Idle connections, most recently used last.
     idle: Vec<ConnectionId>,
 }
 
@@ -57,14 +57,14 @@
 }
 
 impl Pool {
-    /// A pool that knows no endpoints yet and holds this many connections at most.
+    /// Creates a pool without endpoints that holds at most `max_connections` connections.
     pub fn new(max_connections: usize) -> Pool {
         Pool { endpoints: HashMap::new(), connections: ConnectionTable::new(), max_connections }
     }
 
-    /// Applies an update of the endpoint list. Idle connections to an endpoint that has moved, restarted,
-    /// begun to drain or left are closed: an endpoint that was cut off leaves them open and silent. Returns
-    /// the endpoints that stop serving with this update.
+    /// Applies an update of the endpoint list and returns the endpoints that stopped serving with it. Closes
+    /// idle connections to endpoints that have a new address, have restarted, drain or were removed: an
+    /// endpoint that was cut off from the network leaves its connections open without ever answering.
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Forgets the endpoints that have left the list for long enough.
+    /// Drops endpoints that were removed from the list at least [`REMOVED_ENDPOINT_RETENTION`] ago.
     fn forget_removed(&mut self, now: Instant) {
         self.endpoints.retain(|_, endpoint| {
             let unlisted = now.saturating_duration_since(endpoint.last_listed_at);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The connections to these endpoints whose query is not sent yet.
+    /// Returns the connections to these endpoints whose query is not completely sent.
     pub fn connections_with_unsent_query(&self, endpoints: &HashSet<EndpointId>) -> Vec<ConnectionId> {
         let is_unsent = |connection: &Connection| {
             connection.has_unsent_query() && endpoints.contains(connection.endpoint())
@@ -144,13 +144,12 @@
         endpoint.close_idle_connections(&mut self.connections);
     }
 
-    /// The address of an endpoint, if it is known.
+    /// Returns the address of an endpoint, if it is known.
     pub fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         self.endpoints.get(endpoint).map(|endpoint| endpoint.address)
     }
 
-    /// Takes the most recently used idle connection to an endpoint, and closes those that are no longer
-    /// usable.
+    /// Takes the most recently used idle connection to an endpoint. Closes connections found to be unusable.
     pub fn take_idle(&mut self, endpoint: &EndpointId) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(id) = endpoint.idle.pop() {
@@ -163,8 +162,8 @@
         None
     }
 
-    /// Returns a connection to the pool for further use, or closes it if it is out of sync, if its endpoint
-    /// has moved or left, or if that endpoint has enough idle connections.
+    /// Returns a connection to the pool for reuse. Closes it instead if it is out of sync, if its endpoint
+    /// has a new address or was removed, or if the endpoint has [`MAX_IDLE_PER_ENDPOINT`] idle connections.
     pub fn release(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let endpoint = self
@@ -179,13 +178,13 @@
         }
     }
 
-    /// Makes sure that one more connection can be opened, if need be by closing an idle one. False if all
-    /// connections are in use.
+    /// Ensures that one more connection can be opened, by closing an idle one if necessary. Returns false if
+    /// all connections are in use.
     pub fn ensure_capacity(&mut self) -> bool {
         self.connections.len() < self.max_connections || self.evict_idle()
     }
 
-    /// Closes the idle connection that would expire first. False if there is none.
+    /// Closes the idle connection that would expire first. Returns false if no connection is idle.
     fn evict_idle(&mut self) -> bool {
         let next_to_expire = self
             .connections
@@ -196,17 +195,17 @@
         next_to_expire.is_some_and(|id| self.remove(id).is_some())
     }
 
-    /// Adds a connection that is in use.
+    /// Adds a connection in use.
     pub fn insert(&mut self, connection: Connection) -> ConnectionId {
         self.connections.insert(connection)
     }
 
-    /// The connection of this identifier, unless it has been removed.
+    /// Returns the connection with this ID, unless it was removed.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(id)
     }
 
-    /// Takes a connection out of the pool, be it idle or in use.
+    /// Removes a connection from the pool, whether idle or in use.
     pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(id)?;
         if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint()) {
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -1,4 +1,4 @@
-//! The reply of an endpoint to one query, as far as it has been received.
+//! The reply of an endpoint to one query.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use crate::net::{Completion, Task};
 use crate::time::LogPosition;
 
-/// The parameter that holds the commit time of the log position (Unix milliseconds).
+/// ParameterStatus parameter with the commit time of the log position (Unix milliseconds).
 const LOG_POSITION_PARAMETER: &str = "commit_clock";
-/// The parameter that holds the role of the endpoint.
+/// ParameterStatus parameter with the role of the endpoint.
 const ROLE_PARAMETER: &str = "server_role";
 const PRIMARY_ROLE: &str = "writer";
 const REPLICA_ROLE: &str = "reader";
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// How far the result set of one query has been received. It has exactly one row.
+/// Receive state of the result set of one query, which has exactly one row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ResultSetState {
     #[default]
@@ -28,7 +28,7 @@
 }
 
 impl ResultSetState {
-    /// The state after a message of this kind; none if the message is out of order.
+    /// Returns the state after a message of this kind, or `None` if the message is out of order.
     fn next_state(self, kind: BackendMessageKind) -> Option<ResultSetState> {
         match (self, kind) {
             (ResultSetState::AwaitingRowDescription, BackendMessageKind::RowDescription) => {
@@ -45,46 +45,47 @@
     }
 }
 
-/// What a message means for the exchange.
+/// Status of a reply after a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplyStatus {
     /// More messages follow.
     Incomplete,
-    /// The reply has ended and the connection is ready for the next query.
+    /// The reply is complete and the connection is ready for the next query.
     ReadyForQuery,
-    /// The endpoint is about to close the connection.
+    /// The endpoint reported a fatal error and is about to close the connection.
     FatalError,
 }
 
-/// Why a message cannot be added to a reply.
+/// Why a message could not be added to a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ReplyError {
-    /// The message is out of order or has no place in a reply.
-    #[error("the message does not belong to the reply to one query")]
+    /// The message is out of order or not allowed in a reply.
+    #[error("unexpected message in the reply to a query")]
     UnexpectedMessage,
     /// The memory budget does not allow a value of this size.
-    #[error("the memory for the value is exhausted")]
+    #[error("value exceeds the memory budget")]
     OutOfMemory,
 }
 
-/// What has been received in reply to one query.
+/// The messages received in reply to one query.
 #[derive(Default)]
 pub(super) struct Reply {
     result_set: ResultSetState,
-    /// The SQLSTATE of the latest ErrorResponse.
+    /// SQLSTATE of the last ErrorResponse.
     error_code: Option<String>,
-    /// The messages of the result set as they were received; empty for a health check.
+    /// Encoded messages of the result set; empty for a health check.
     value: Vec<u8>,
-    /// The log position that the endpoint had reached.
+    /// Log position reported by the endpoint.
     log_position: Option<LogPosition>,
-    /// The role that the endpoint says it has.
+    /// Role reported by the endpoint.
     role: Option<Role>,
-    /// The load report that a health check has asked for, if it could be parsed.
+    /// Load report requested by a health check, if it could be parsed.
     report: Option<LoadReport>,
 }
 
 impl Reply {
-    /// The outcome of the exchange; none while the reply contains neither an error nor a complete result set.
+    /// Returns the outcome of the exchange, or `None` while the reply has neither an error nor a complete
+    /// result set.
     pub fn outcome(&self) -> Option<Outcome> {
         match &self.error_code {
             Some(code) => Some(error_outcome(code)),
@@ -93,17 +94,17 @@
         }
     }
 
-    /// Whether a part of the result set or an error has been received.
+    /// Returns whether an error or part of the result set has been received.
     pub fn has_started(&self) -> bool {
         self.result_set != ResultSetState::AwaitingRowDescription || self.error_code.is_some()
     }
 
-    /// Whether a load report has been received and could be parsed.
+    /// Returns whether a load report was received and parsed.
     pub fn has_load_report(&self) -> bool {
         self.report.is_some()
     }
 
-    /// The end of a task with this outcome that this is the reply to.
+    /// Converts the reply into the completion of its task.
     pub fn into_completion(
         self,
         task: Task,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Adds a message. `value_memory` is the memory that the value takes.
+    /// Adds a message. `value_memory` is the memory reservation of the value.
     pub fn add_message(
         &mut self,
         message: &BackendMessage,
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Appends a message to the value. Each message has its own bound, but all values together must also fit
-    /// the memory budget.
+    /// Appends a message to the value. The size of each message is limited, but all values together must also
+    /// fit the memory budget.
     fn append_to_value(
         &mut self,
         message: &BackendMessage,
@@ -201,7 +202,7 @@
     }
 }
 
-/// The outcome of an exchange that the endpoint has answered with an error.
+/// Returns the outcome of an exchange that the endpoint answered with an error.
 fn error_outcome(code: &str) -> Outcome {
     match code {
         sqlstate::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
--- a/src/net/backend/reply/tests.rs
+++ b/src/net/backend/reply/tests.rs
@@ -11,7 +11,7 @@
     Task::Attempt(AttemptTask { request: "1".into(), number: 0, statement: Rc::new(statement) })
 }
 
-/// Adds one message of each kind, given by its first byte, to a reply.
+/// Builds a reply from messages whose kinds are given by their type bytes. Stops at the first error.
 fn receive(kinds: &str, task: &Task, memory: usize) -> (Reply, Result<ReplyStatus, ReplyError>) {
     let mut value_memory = MemoryBudget::new(memory).reservation();
     let mut reply = Reply::default();
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -1,4 +1,4 @@
-//! The states of a connection, and how the exchange of each state ends when the connection fails.
+//! Connection states, and the outcome of the current exchange when the connection fails in each state.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use super::reply::Reply;
 use crate::interface::Outcome;
 
-/// What a connection does at present.
+/// State of a connection.
 pub(super) enum State {
     /// The TCP connection is being established.
     Connecting(Exchange),
@@ -14,57 +14,57 @@
     Starting(Exchange),
     /// The connection is ready for a query.
     Idle,
-    /// A query is queued or sent and its reply has not ended yet.
+    /// A query is queued or sent and its reply is not complete.
     Busy {
         /// The exchange that the query belongs to.
         exchange: Exchange,
-        /// What has been received of the reply.
+        /// The part of the reply received so far.
         reply: Reply,
-        /// Whether the reply has begun, so that the connect timeout applies to the rest of it.
+        /// Whether the reply has started, so that the connect timeout applies to the rest of it.
         reply_started: bool,
     },
 }
 
-/// Whether a query, and whatever was queued before it, is completely written to the socket.
+/// Whether the output buffer, including a queued query, has been written to the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteStatus {
-    /// Some of it is still in the output buffer.
+    /// Part of the output is still buffered.
     Pending,
-    /// All of it is written.
+    /// All output has been written.
     Written,
 }
 
-/// How an exchange ends when a state has lasted too long.
+/// How an exchange ends when its connection stays in a state past the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Expiry {
-    /// The reply has begun but not ended, which makes it malformed.
+    /// The reply started but did not complete in time; it is treated as malformed.
     ReplyStalled,
-    /// The exchange has this outcome.
+    /// The exchange ends with this outcome.
     Failed(Outcome),
 }
 
 impl State {
-    /// The state at the start of an exchange, before its query is sent.
+    /// Returns the state at the start of an exchange, before its query is sent.
     pub fn busy(exchange: Exchange) -> State {
         State::Busy { exchange, reply: Reply::default(), reply_started: false }
     }
 
-    /// Whether the connection waits for an exchange.
+    /// Returns whether the connection is ready for an exchange.
     pub fn is_idle(&self) -> bool {
         matches!(self, State::Idle)
     }
 
-    /// Whether a query is queued or sent.
+    /// Returns whether a query is queued or sent.
     pub fn is_busy(&self) -> bool {
         matches!(self, State::Busy { .. })
     }
 
-    /// Whether the session is being started.
+    /// Returns whether the session is being started.
     pub fn is_starting(&self) -> bool {
         matches!(self, State::Starting(_))
     }
 
-    /// Becomes idle. Returns the exchange, if there was one, with what has been received of its reply.
+    /// Switches to `Idle` and returns the exchange, if any, with the part of its reply received so far.
     pub fn take_exchange(&mut self) -> Option<(Exchange, Reply)> {
         match std::mem::replace(self, State::Idle) {
             State::Connecting(exchange) | State::Starting(exchange) => Some((exchange, Reply::default())),
@@ -73,20 +73,21 @@
         }
     }
 
-    /// How the exchange ends when the connection has ended. Before the last byte of a query is sent the query
-    /// cannot have been executed; after that it may have been, unless the reply says otherwise.
+    /// Returns the outcome of the exchange when the connection is lost. A query cannot have been executed
+    /// before its last byte was sent; after that it may have been, unless the reply proves otherwise.
     pub fn outcome_of_lost_connection(&self, query: WriteStatus) -> Outcome {
         match self {
             State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
             State::Busy { .. } if query == WriteStatus::Pending => Outcome::ConnectFailed,
             State::Busy { reply, .. } => reply.outcome().unwrap_or(Outcome::ConnectionReset),
-            // No exchange: never reported.
+            // Never reported: there is no exchange.
             State::Idle => Outcome::ConnectionReset,
         }
     }
 
-    /// How the exchange ends when the peer has sent data that belongs to no valid reply. The request may have
-    /// been executed and the reply is discarded, unless an error in it proves that it was not executed.
+    /// Returns the outcome of the exchange when the peer has sent data that is not part of a valid reply. The
+    /// reply is discarded and the request may have been executed, unless an error in the reply proves that it
+    /// was not.
     pub fn outcome_of_malformed_reply(&mut self) -> Outcome {
         match self {
             State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
@@ -97,12 +98,12 @@
                     Outcome::Error
                 }
             },
-            // No exchange: never reported.
+            // Never reported: there is no exchange.
             State::Idle => Outcome::Error,
         }
     }
 
-    /// How the exchange ends when the state has lasted too long.
+    /// Returns how the exchange ends when the deadline of the state has passed.
     pub fn expiry(&self, now: Instant, connect_timeout: Duration, query: WriteStatus) -> Expiry {
         match self {
             State::Connecting(exchange) | State::Starting(exchange) => {
@@ -114,7 +115,7 @@
             }
             State::Busy { .. } if query == WriteStatus::Pending => Expiry::Failed(Outcome::ConnectFailed),
             State::Busy { reply_started: true, .. } => Expiry::ReplyStalled,
-            // Idle has no exchange: never reported.
+            // Never reported for `Idle`, which has no exchange.
             State::Busy { .. } | State::Idle => Expiry::Failed(Outcome::Timeout),
         }
     }
--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -7,7 +7,7 @@
 use crate::net::postgres::{BackendMessage, BackendMessageKind};
 use crate::net::Task;
 
-/// When the exchanges of these tests start.
+/// Start time of all exchanges in these tests.
 static STARTED_AT: LazyLock<Instant> = LazyLock::new(Instant::now);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -16,7 +16,7 @@
     Exchange::new(Task::HealthCheck, *STARTED_AT, TIMEOUT)
 }
 
-/// A state whose reply is an ErrorResponse with this code, or empty.
+/// Returns a busy state whose reply is an ErrorResponse with this code, or empty.
 fn busy(error_code: Option<&str>, reply_started: bool) -> State {
     let mut reply = Reply::default();
     let mut value_memory = MemoryBudget::new(0).reservation();
@@ -39,7 +39,7 @@
 )]
 #[case::query_sent(busy(None, false), WriteStatus::Written, Outcome::ConnectionReset)]
 #[case::error_received(busy(Some("25006"), true), WriteStatus::Written, Outcome::Ineligible)]
-fn a_lost_connection_may_have_executed_only_a_sent_query(
+fn after_a_lost_connection_only_a_sent_query_may_have_been_executed(
     #[case] state: State,
     #[case] query: WriteStatus,
     #[case] outcome: Outcome,
