--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -8,7 +8,7 @@
 use crate::net::{Context, Response, Task};
 
 impl Pooler {
-    /// Executes actions in their order.
+    /// Executes actions in order.
     pub(super) fn execute(&mut self, actions: Vec<Action>, context: &mut Context) {
         for action in actions {
             self.execute_one(action, context);
@@ -60,13 +60,13 @@
         self.backend.send(Task::HealthCheck, endpoint, self.health_check_timeout, context);
     }
 
-    /// Sends the final answer to a request, unless its client has one or no longer waits. Cancels attempts
-    /// whose queries are not sent yet, and removes the request unless an attempt of it is in flight.
+    /// Sends the final response to a request, unless the client already has one or no longer waits. Cancels
+    /// attempts whose queries are not sent yet, and removes the request unless an attempt is in flight.
     pub(super) fn finish_request(&mut self, id: &RequestId, response: Response, context: &mut Context) {
         if let Some(client) = self.requests.take_client(id) {
             self.frontend.respond(client, response, context);
         }
-        // An attempt that has not reached its endpoint must not begin after the final answer.
+        // A query that is not yet sent must not be executed after the final response.
         for connection in self.requests.connections(id) {
             self.backend.cancel_unsent(connection, context);
         }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Logs a change of the policy's state: as a warning where an operator may have to act.
+/// Logs a change of the policy's state, as a warning if an operator may have to act.
 fn log_state_change(change: &StateChange) {
     match change {
         StateChange::WatchLost
--- a/src/net/pooler/active_requests/mod.rs
+++ b/src/net/pooler/active_requests/mod.rs
@@ -1,4 +1,4 @@
-//! The requests that a client or an attempt still waits for.
+//! Table of requests in progress: those with a waiting client or an attempt in flight.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -7,29 +7,29 @@
 use crate::net::messages::{AttemptTask, Statement};
 use crate::net::reactor::ConnectionId;
 
-/// An attempt that was sent and has not ended yet.
+/// An attempt that was sent and has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct InFlightAttempt {
-    /// The number of the attempt among those of its request, from 0.
+    /// Attempt number within the request, starting at 0.
     number: usize,
-    /// The connection that it runs on; none where no connection could be opened for it.
+    /// Connection used by the attempt; `None` if none could be opened.
     connection: Option<ConnectionId>,
 }
 
-/// A request that was passed to the policy.
+/// A request in progress.
 #[derive(Debug)]
 struct ActiveRequest {
-    /// The client that waits for the final answer; none once it has the answer or has disconnected.
+    /// Client waiting for the final response; `None` once it was answered or has disconnected.
     client: Option<ConnectionId>,
     statement: Rc<Statement>,
-    /// How many attempts were started.
+    /// Number of attempts started.
     attempts: usize,
-    /// The attempts whose ends are not handled yet: more than one where requests are hedged.
+    /// Attempts whose results are not handled yet; more than one for a hedged request.
     in_flight: Vec<InFlightAttempt>,
 }
 
 impl ActiveRequest {
-    /// The connections that its attempts in flight run on.
+    /// Returns the connections of the attempts in flight.
     fn connections(&self) -> Vec<ConnectionId> {
         self.in_flight.iter().filter_map(|attempt| attempt.connection).collect()
     }
@@ -40,30 +40,30 @@
 pub(super) struct AbandonedRequest {
     /// The request.
     pub id: RequestId,
-    /// The connections that its attempts in flight run on.
+    /// Connections of its attempts in flight.
     pub connections: Vec<ConnectionId>,
 }
 
-/// Whether a client still waits for the answer to a request.
+/// Whether a client still waits for the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientState {
-    /// The client waits for its answer.
+    /// The client waits for the response.
     Waiting,
-    /// The client has its answer or has disconnected.
+    /// The client was answered or has disconnected.
     NotWaiting,
 }
 
-/// All requests in progress, by their identifier and by the client that waits for them. A request stays until
-/// its client has its answer or has disconnected, and no attempt of it is in flight.
+/// All requests in progress, indexed by ID and by waiting client. A request stays in the table until its
+/// client was answered or has disconnected and no attempt is in flight.
 #[derive(Debug, Default)]
 pub(super) struct ActiveRequests {
     requests: HashMap<RequestId, ActiveRequest>,
-    /// The request that each busy client waits for.
+    /// The request that each client waits for.
     by_client: HashMap<ConnectionId, RequestId>,
 }
 
 impl ActiveRequests {
-    /// Whether a request of this identifier is in progress.
+    /// Returns whether a request with this ID is in progress.
     pub fn contains(&self, id: &str) -> bool {
         self.requests.contains_key(id)
     }
@@ -80,7 +80,7 @@
         self.by_client.insert(client, id);
     }
 
-    /// Numbers the next attempt of a request; none where the request is not in progress.
+    /// Creates the next attempt of a request. Returns `None` if the request is not in progress.
     pub fn start_attempt(&mut self, id: RequestId) -> Option<AttemptTask> {
         let request = self.requests.get_mut(&id)?;
         let number = request.attempts;
@@ -88,33 +88,34 @@
         Some(AttemptTask { request: id, number, statement: request.statement.clone() })
     }
 
-    /// Records that an attempt was sent, and on which connection.
+    /// Records that an attempt was sent on a connection, or on none if none could be opened.
     pub fn attempt_sent(&mut self, id: &str, number: usize, connection: Option<ConnectionId>) {
         if let Some(request) = self.requests.get_mut(id) {
             request.in_flight.push(InFlightAttempt { number, connection });
         }
     }
 
-    /// The connection that an attempt runs on, if that attempt is in flight.
+    /// Returns the connection of an attempt in flight.
     pub fn connection_of_attempt(&self, id: &str, number: usize) -> Option<ConnectionId> {
         let mut in_flight = self.requests.get(id)?.in_flight.iter();
         in_flight.find(|attempt| attempt.number == number)?.connection
     }
 
-    /// The connections that the attempts of a request run on which are in flight.
+    /// Returns the connections of a request's attempts in flight.
     pub fn connections(&self, id: &str) -> Vec<ConnectionId> {
         self.requests.get(id).map(ActiveRequest::connections).unwrap_or_default()
     }
 
-    /// Records that an attempt has ended; none where the request is not in progress.
+    /// Records that an attempt has ended, and returns whether the client still waits. Returns `None` if the
+    /// request is not in progress.
     pub fn attempt_finished(&mut self, id: &str, number: usize) -> Option<ClientState> {
         let request = self.requests.get_mut(id)?;
         request.in_flight.retain(|attempt| attempt.number != number);
         Some(if request.client.is_some() { ClientState::Waiting } else { ClientState::NotWaiting })
     }
 
-    /// Records that a client no longer waits; none where it waits for no request. The request stays in the
-    /// table until [`remove_if_finished`](Self::remove_if_finished).
+    /// Records that a client no longer waits, and returns the request that it waited for, if any. The request
+    /// stays in the table until [`remove_if_finished`](Self::remove_if_finished).
     pub fn abandon(&mut self, client: ConnectionId) -> Option<AbandonedRequest> {
         let id = self.by_client.remove(&client)?;
         let request = self.requests.get_mut(&id)?;
@@ -123,19 +124,19 @@
         Some(AbandonedRequest { id, connections })
     }
 
-    /// The request that a client waits for, if any.
+    /// Returns the request that a client waits for, if any.
     pub fn request_of(&self, client: ConnectionId) -> Option<RequestId> {
         self.by_client.get(&client).cloned()
     }
 
-    /// Takes the client that waits for the final answer, which is to be sent now; none where no client does.
+    /// Takes the client that waits for the final response, if any. The caller must send the response.
     pub fn take_client(&mut self, id: &str) -> Option<ConnectionId> {
         let client = self.requests.get_mut(id)?.client.take()?;
         self.by_client.remove(&client);
         Some(client)
     }
 
-    /// Removes a request that neither a client nor an attempt waits for.
+    /// Removes a request if no client waits for it and no attempt is in flight.
     pub fn remove_if_finished(&mut self, id: &str) {
         let finished = |request: &ActiveRequest| request.client.is_none() && request.in_flight.is_empty();
         if self.requests.get(id).is_some_and(finished) {
--- a/src/net/pooler/active_requests/tests.rs
+++ b/src/net/pooler/active_requests/tests.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the table.
+//! Tests of the life cycle of requests in the table.
 
 use super::{AbandonedRequest, ActiveRequests, ClientState};
 use crate::interface::RequestId;
@@ -7,7 +7,7 @@
 
 const ID: &str = "r1";
 
-/// Connection identifiers that are all different.
+/// Returns distinct connection IDs.
 fn connections<const N: usize>() -> [ConnectionId; N] {
     let mut table = ConnectionTable::new();
     std::array::from_fn(|_| table.insert(()))
@@ -17,14 +17,14 @@
     Statement { text: "SELECT 1".into(), timeout_range: 0..0, memory: None }
 }
 
-/// A table with one request that `client` waits for.
+/// Returns a table with one request that `client` waits for.
 fn table_with_request(client: ConnectionId) -> ActiveRequests {
     let mut table = ActiveRequests::default();
     table.insert(RequestId::from(ID), client, statement());
     table
 }
 
-/// Starts an attempt that runs on `connection`, and returns its number.
+/// Starts an attempt on `connection` and returns its number.
 fn send_attempt(table: &mut ActiveRequests, connection: Option<ConnectionId>) -> usize {
     let attempt = table.start_attempt(ID.into()).expect("the request is in progress");
     table.attempt_sent(ID, attempt.number, connection);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_attempt_without_a_connection_is_in_flight_all_the_same() {
+fn an_attempt_without_a_connection_counts_as_in_flight() {
     let [client] = connections();
     let mut table = table_with_request(client);
     let number = send_attempt(&mut table, None);
@@ -91,7 +91,7 @@
     table.remove_if_finished(ID);
     assert!(table.contains(ID));
     assert_eq!(table.take_client(ID), Some(client));
-    assert_eq!(table.take_client(ID), None, "there is one final answer");
+    assert_eq!(table.take_client(ID), None, "a request has only one final response");
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
@@ -113,7 +113,7 @@
     let abandoned = AbandonedRequest { id: RequestId::from(ID), connections: vec![connection] };
     assert_eq!(table.abandon(client), Some(abandoned));
     assert_eq!(table.abandon(client), None);
-    assert_eq!(table.take_client(ID), None, "nobody is owed an answer");
+    assert_eq!(table.take_client(ID), None, "no client waits for a response");
     table.remove_if_finished(ID);
     assert!(table.contains(ID), "its attempt is in flight");
     assert_eq!(table.attempt_finished(ID, 0), Some(ClientState::NotWaiting));
@@ -132,7 +132,7 @@
     assert_eq!(table.take_client("r2"), Some(client));
 }
 
-/// A hedged request has two attempts in flight. The later one once took the place of the earlier.
+/// A hedged request has two attempts in flight. Recording the second one used to overwrite the first.
 #[test]
 fn a_request_stays_until_all_its_attempts_have_ended() {
     let [client, first_connection, second_connection] = connections();
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -1,4 +1,4 @@
-//! Handles the ends of attempts and health checks.
+//! Handles the results of attempts and health checks.
 
 use super::active_requests::ClientState;
 use super::Pooler;
@@ -8,7 +8,7 @@
 use crate::net::{AttemptTask, Completion, Context, Response, Task};
 
 impl Pooler {
-    /// Reports the end of a task to the policy and answers the client if the end decides its request.
+    /// Reports the result of a task to the policy, and responds to the client if the result is final.
     pub(super) fn on_task_completed(&mut self, completion: Completion, context: &mut Context) {
         match &completion.task {
             Task::HealthCheck => self.on_health_check_completed(completion, context),
@@ -39,8 +39,8 @@
             role: completion.role,
             report: completion.report,
         };
-        // The policy decides first: it learns from the answer before the client can act on it.
-        // Its actions come last: none of them may delay this answer or give the request another one.
+        // The policy is called first, so that it knows the result before the client can act on it. Its
+        // actions are executed last, so that none of them delays this response or sends another one.
         let actions = self.decide(interface::Event::AttemptFinished(result), context);
         match response {
             Some(response) => self.finish_request(&id, response, context),
@@ -50,7 +50,7 @@
     }
 }
 
-/// The final answer to a request whose attempt ended like this; none where the policy decides.
+/// Returns the final response if the outcome of an attempt determines it, or `None` if the policy decides.
 fn final_response(outcome: Outcome, value: Vec<u8>) -> Option<Response> {
     match outcome {
         Outcome::Success => Some(Response::Value(value)),
--- a/src/net/pooler/endpoints.rs
+++ b/src/net/pooler/endpoints.rs
@@ -1,4 +1,4 @@
-//! Handles updates of the endpoint list.
+//! Handles endpoint list updates and watch failures.
 
 use super::Pooler;
 use crate::endpoint_list::ListedEndpoint;
@@ -12,7 +12,7 @@
         self.notify_policy(interface::Event::WatchFailed, context);
     }
 
-    /// Takes over an update of the endpoint list.
+    /// Applies an update of the endpoint list to the backend and the policy.
     pub(super) fn on_endpoints_updated(
         &mut self,
         kind: UpdateKind,
@@ -29,15 +29,16 @@
         }
     }
 
-    /// The entry in the form that the policy takes.
+    /// Converts an entry of the endpoint list to the policy's representation.
     fn policy_endpoint(&self, listed: ListedEndpoint) -> Endpoint {
         let ListedEndpoint { name, zone, group, status, started_at, role, .. } = listed;
-        // A start before 1970 was long ago for the policy; the pool compares it like any other.
+        // For the policy, a start time before 1970 means long ago; the pool compares it like any other.
         let started_at = started_at.filter(|at| at.as_secs() > 0.0);
         Endpoint { id: name, zone: self.zone_index(&zone), group, status, started_at, role }
     }
 
-    /// The number of a zone. A zone that the settings do not name is at least not the pooler's own.
+    /// Returns the index of a zone. Zones that the settings do not name share the index after the last, which
+    /// is never the zone of the pooler.
     fn zone_index(&self, name: &str) -> u32 {
         let known = self.zones.iter().position(|zone| zone == name);
         known.unwrap_or(self.zones.len()) as u32
--- a/src/net/pooler/mod.rs
+++ b/src/net/pooler/mod.rs
@@ -1,15 +1,15 @@
-//! Connects the [`Policy`] to the sockets: translates the [`Event`]s of the connections for the policy and
-//! executes the actions that it returns. The policy takes every decision except those that the limits of the
-//! process force.
+//! Connects the [`Policy`] to the sockets: translates [`Event`]s of the connections into events of the policy
+//! and executes the actions that it returns. The policy makes all decisions except those forced by the limits
+//! of the process.
 //!
-//! - [`startup`]: builds the pooler and runs it.
-//! - [`queries`]: the queries of clients, their disconnects and cancel requests.
+//! - [`startup`]: builds and runs the pooler.
+//! - [`queries`]: client queries, disconnects and cancel requests.
 //! - [`actions`]: executes the actions of the policy.
-//! - [`completions`]: the ends of attempts and health checks.
-//! - [`active_requests`]: the requests that a client or an attempt still waits for.
-//! - [`endpoints`]: the endpoint list and the failures of its watch.
-//! - [`reload`]: reads the configuration file again after SIGHUP.
-//! - [`signals`]: the signals of the process.
+//! - [`completions`]: results of attempts and health checks.
+//! - [`active_requests`]: table of requests in progress.
+//! - [`endpoints`]: endpoint list updates and watch failures.
+//! - [`reload`]: configuration reload on SIGHUP.
+//! - [`signals`]: signal handling.
 
 mod actions;
 mod active_requests;
@@ -37,7 +37,7 @@
 use reload::ConfigReload;
 pub(crate) use startup::{serve, ServeError};
 
-/// The pooler: the policy and the connections that it decides about.
+/// The pooler: the policy and the connections that it controls.
 struct Pooler {
     policy: Policy,
     frontend: Frontend,
@@ -46,17 +46,17 @@
     signals: Signals,
     requests: ActiveRequests,
     query_translator: QueryTranslator,
-    /// The names of the zones, in the order of the settings.
+    /// Zone names, in the order of the settings.
     zones: Vec<String>,
-    /// The timeout of a health check: the connect timeout, since neither waits for a query to be executed.
+    /// Timeout of health checks: the connect timeout, since neither waits for a query to be executed.
     health_check_timeout: Duration,
     reload: ConfigReload,
     shutdown: GracefulShutdown,
 }
 
 impl Pooler {
-    /// Handles the queued events. Each event is handled only after all actions that follow from the one
-    /// before it are executed.
+    /// Handles all queued events. Each event is handled only after all actions caused by the previous one are
+    /// executed.
     fn process_events(&mut self, context: &mut Context) {
         while let Some(event) = context.events.pop_front() {
             match event {
@@ -80,7 +80,7 @@
         self.execute(actions, context);
     }
 
-    /// Passes an event to the policy and returns its actions, which are still to be executed.
+    /// Passes an event to the policy and returns the resulting actions without executing them.
     fn decide(&mut self, event: interface::Event, context: &Context) -> Vec<Action> {
         let mut actions = Vec::new();
         let now = context.reactor.policy_time(context.reactor.now());
@@ -88,14 +88,14 @@
         actions
     }
 
-    /// Stops accepting connections and closes each open one once its queries are answered.
+    /// Stops accepting connections and closes each open connection once its queries are answered.
     fn start_draining(&mut self, context: &mut Context) {
         self.frontend.stop_accepting(context);
         let drain = self.shutdown.start_draining(context.reactor.now());
         self.frontend.start_draining(drain, context);
     }
 
-    /// Ends each blocking request: the queries behind it on its connection must be answered before the kill.
+    /// Ends all blocking requests: the queries queued behind them must be answered before the kill.
     fn end_blocking_requests(&mut self, context: &mut Context) {
         for client in self.frontend.clients_with_blocking_requests() {
             if let Some(id) = self.requests.request_of(client) {
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -1,4 +1,4 @@
-//! Translates the queries of clients into requests for the policy.
+//! Translates client queries into requests for the policy, and handles disconnects and cancel requests.
 
 use std::time::Instant;
 
@@ -11,23 +11,23 @@
 use crate::settings::{Consistency, Idempotency};
 use crate::time::Span;
 
-/// What the pooler has to know of a request class.
+/// The properties of a request class that the pooler needs.
 struct QueryClass {
     name: String,
     consistency: Consistency,
     idempotency: Idempotency,
 }
 
-/// Resolves the names in queries to the numbers that the policy knows.
+/// Resolves class and tenant names in queries to the indices that the policy uses.
 pub(super) struct QueryTranslator {
-    /// The classes, in the order of the settings.
+    /// Classes, in the order of the settings.
     classes: Vec<QueryClass>,
-    /// The names of the tenants, in the order of the settings.
+    /// Tenant names, in the order of the settings.
     tenants: Vec<String>,
 }
 
 impl QueryTranslator {
-    /// Takes the classes and tenants of a configuration.
+    /// Creates a translator for the classes and tenants of a configuration.
     pub fn new(config: &Config) -> QueryTranslator {
         let class = |(name, class): (&String, &crate::settings::RequestClass)| QueryClass {
             name: name.clone(),
@@ -38,7 +38,7 @@
         QueryTranslator { classes, tenants: config.tenants.clone() }
     }
 
-    /// The number of the class of a query that the class allows.
+    /// Returns the index of the query's class. Fails if the class is unknown or does not allow the query.
     fn class_index(&self, query: &Query) -> Result<usize, InvalidQuery> {
         let index = self.classes.iter().position(|class| class.name == query.class);
         let index = index.ok_or(InvalidQuery::UnknownClass)?;
@@ -49,17 +49,17 @@
         Ok(index)
     }
 
-    /// The number of a tenant. All tenants that the settings do not name share the number after the last.
+    /// Returns the index of a tenant. Tenants that the settings do not name share the index after the last.
     fn tenant_index(&self, name: &str) -> usize {
         self.tenants.iter().position(|known| known == name).unwrap_or(self.tenants.len())
     }
 
-    /// Whether requests of a class depend on the session that they belong to.
+    /// Returns whether requests of a class depend on their session.
     fn uses_sessions(&self, class: usize) -> bool {
         matches!(self.classes[class].consistency, Consistency::Write | Consistency::Session)
     }
 
-    /// The request that the policy is asked to place.
+    /// Builds the request that is passed to the policy.
     fn build_request(
         &self,
         id: RequestId,
@@ -75,9 +75,9 @@
             id,
             class,
             group: query.group,
-            // The query may have waited behind others of its connection since it was received.
+            // The query may have waited behind others on its connection since it was received.
             timeout: span_of(query.timeout) - span_of(waited),
-            // As if both clocks agreed: the policy converts the age back in the same way.
+            // Assumes that both clocks agree: the policy converts the age back in the same way.
             session_token_age: query
                 .session_token
                 .map(|committed_at| reactor.policy_time(now) - committed_at.to_local(Span::ZERO)),
@@ -89,7 +89,7 @@
 }
 
 impl Pooler {
-    /// Passes a client's query to the policy, or rejects it if it is invalid.
+    /// Passes a client query to the policy, or responds with an error if the query is invalid.
     pub(super) fn on_query(
         &mut self,
         client: ConnectionId,
@@ -109,18 +109,18 @@
         self.notify_policy(interface::Event::Request(request), context);
     }
 
-    /// The number of the class of a valid query.
+    /// Checks a query and returns the index of its class.
     fn validate(&self, query: &Query) -> Result<usize, InvalidQuery> {
         let class = self.query_translator.class_index(query)?;
-        // Two requests of one identifier could not be distinguished, and an endpoint would see a duplicate.
+        // Requests with the same ID could not be told apart, and an endpoint would see a duplicate.
         if self.requests.contains(&query.id) {
             return Err(InvalidQuery::DuplicateId);
         }
         Ok(class)
     }
 
-    /// Abandons the request of a client that has disconnected or cancelled it: reports that to the policy,
-    /// then cancels the attempts in flight.
+    /// Abandons the request of a client that has disconnected or cancelled it: notifies the policy, then
+    /// cancels the attempts in flight.
     pub(super) fn abandon_request(&mut self, client: ConnectionId, context: &mut Context) {
         let Some(request) = self.requests.abandon(client) else { return };
         context.counters.client_disconnects += 1;
@@ -131,7 +131,7 @@
         self.requests.remove_if_finished(&request.id);
     }
 
-    /// Cancels the query of the client that has this key. For the policy that is the same as a disconnect.
+    /// Cancels the query of the client with this key. The policy handles it like a disconnect.
     pub(super) fn on_cancel_request(&mut self, key: CancelKey, context: &mut Context) {
         if let Some(client) = self.frontend.find_by_cancel_key(key) {
             self.abandon_request(client, context);
--- a/src/net/pooler/reload.rs
+++ b/src/net/pooler/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration file again after SIGHUP.
+//! Configuration reload on SIGHUP.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -8,33 +8,34 @@
 use crate::net::reactor::TimerEvent;
 use crate::net::Context;
 
-/// Interval between two attempts to read the configuration.
+/// Interval between retries.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// How often reading is retried: 20 times 200 ms = 4 s, after which discovery counts on the new address.
+/// Maximum number of retries: 20 times 200 ms = 4 s, after which the discovery service expects the pooler to
+/// use its new address.
 const MAX_RETRIES: u32 = 20;
 
-/// The configuration file, and how often reading it may still be retried for the last signal.
+/// The configuration file and the number of retries left for the last signal.
 pub(super) struct ConfigReload {
     path: PathBuf,
     retries_left: u32,
 }
 
 impl ConfigReload {
-    /// No reload is due.
+    /// Creates the initial state, with no retry due.
     pub fn new(path: &Path) -> ConfigReload {
         ConfigReload { path: path.to_path_buf(), retries_left: 0 }
     }
 
-    /// Reads the file. Once that has succeeded, no retry is due any more.
+    /// Reads the file. On success no further retry is due.
     fn load(&mut self) -> Result<Config, ConfigError> {
         let config = Config::load(&self.path)?;
         self.retries_left = 0;
         Ok(config)
     }
 
-    /// Allows retries after the first failure where the file could not be read: the system may lack a
-    /// descriptor for a moment. A file that is invalid at the first read is not retried. Returns whether a
-    /// retry is due.
+    /// Allows retries after a first failure if the file could not be read, since the system may be short of
+    /// file descriptors temporarily. A file that is invalid at the first read is not retried. Returns whether
+    /// a retry is due.
     fn allow_retries_after(&mut self, error: &ConfigError) -> bool {
         let is_transient = matches!(error, ConfigError::Read { .. });
         if is_transient {
@@ -43,7 +44,7 @@
         is_transient
     }
 
-    /// Takes one of the retries that are left. Returns whether there was one.
+    /// Uses up one retry. Returns false if none was left.
     fn take_retry(&mut self) -> bool {
         let is_due = self.retries_left > 0;
         self.retries_left = self.retries_left.saturating_sub(1);
@@ -52,8 +53,8 @@
 }
 
 impl Pooler {
-    /// Reads the configuration file again after a signal. A file that is invalid or cannot be read changes
-    /// nothing.
+    /// Reloads the configuration file after a signal. If the file is invalid or cannot be read, the current
+    /// configuration is kept.
     pub(super) fn reload(&mut self, context: &mut Context) {
         let Err(error) = self.try_reload(context) else { return };
         context.counters.reload_failures += 1;
@@ -63,16 +64,16 @@
         }
     }
 
-    /// Retries a reload that has failed, unless another one has succeeded since. Schedules the next retry
-    /// after any error, also of an invalid file. Only the first failure is counted and logged.
+    /// Retries a failed reload, unless another reload has succeeded since. Schedules the next retry after any
+    /// error, including an invalid file. Only the first failure is counted and logged.
     pub(super) fn retry_reload(&mut self, context: &mut Context) {
         if self.reload.take_retry() && self.try_reload(context).is_err() {
             schedule_retry(context);
         }
     }
 
-    /// Takes the address of discovery from the configuration file. The rest holds from the next start, since
-    /// requests in progress were accepted under it.
+    /// Applies the address of the discovery service from the configuration file. All other changes take
+    /// effect at the next start, since requests in progress were accepted under the old values.
     fn try_reload(&mut self, context: &mut Context) -> Result<(), ConfigError> {
         let config = self.reload.load()?;
         context.counters.reloads += 1;
--- a/src/net/pooler/signals.rs
+++ b/src/net/pooler/signals.rs
@@ -1,4 +1,4 @@
-//! Handles the signals of the process.
+//! Signal handling.
 
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 
@@ -6,7 +6,7 @@
 use crate::net::Context;
 
 impl Pooler {
-    /// Handles the signals that have been received.
+    /// Handles all pending signals.
     pub(super) fn on_signals(&mut self, context: &mut Context) {
         let received: Vec<i32> = self.signals.pending().collect();
         for signal in received {
@@ -14,7 +14,7 @@
                 SIGUSR1 => tracing::info!("counters: {}", context.counters),
                 SIGHUP => self.reload(context),
                 SIGTERM | SIGINT => self.shutdown.start(&mut context.reactor),
-                // No other signal is registered. To end is the default of an unhandled signal.
+                // No other signal is registered. Most signals terminate the process by default.
                 _ => self.shutdown.start(&mut context.reactor),
             }
         }
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -1,4 +1,4 @@
-//! Builds the pooler from its configuration and runs it.
+//! Builds the pooler from the configuration and runs it.
 
 use std::collections::VecDeque;
 use std::io;
@@ -28,41 +28,41 @@
 use crate::transient_error::{is_transient, retry};
 use crate::Policy;
 
-/// File descriptors that connections may not use: they are for the listener, the poll, the signals, standard
-/// error, the watch of the endpoint list and whatever else the process opens for a moment.
+/// File descriptors not available to connections: used for the listener, the poll instance, signals, standard
+/// error, the endpoint list watch and anything that the process opens temporarily.
 const RESERVED_DESCRIPTORS: usize = 16;
 
-/// Why the pooler could not start or had to stop.
+/// Why the pooler failed to start or stopped.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
-    /// The policy does not accept its settings.
+    /// The policy rejected its settings.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// The configured limit of file descriptors leaves none for clients.
-    #[error("too few sockets")]
+    /// The configured limit on file descriptors leaves none for clients.
+    #[error("`limits.sockets` is too low: no file descriptor is left for clients")]
     TooFewSockets,
-    /// A call of the operating system failed.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
 impl ServeError {
-    /// Whether a retry of the start may succeed.
+    /// Returns whether retrying the start may succeed.
     fn is_transient(&self) -> bool {
         matches!(self, ServeError::Io(error) if is_transient(error))
     }
 }
 
-/// How many connections each side may hold.
+/// Maximum number of connections on each side.
 struct ConnectionLimits {
     clients: usize,
     backend: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the configured number of file descriptors in half between clients and endpoints. Usually one
-    /// attempt for each client; hedged requests and health checks compete for the same half, and when it is
-    /// used up attempts end as [`NotSent`](crate::interface::Outcome::NotSent).
+    /// Splits the configured number of file descriptors evenly between clients and endpoints, since a client
+    /// usually has one attempt in flight. Hedged requests and health checks share the backend's half; once it
+    /// is used up, attempts end as [`NotSent`](crate::interface::Outcome::NotSent).
     fn new(descriptors: usize) -> Result<ConnectionLimits, ServeError> {
         let sockets = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         let clients = sockets / 2;
@@ -73,8 +73,8 @@
     }
 }
 
-/// Serves clients until a graceful shutdown is complete. `path` is the file that `config` was read from; a
-/// reload reads it again.
+/// Serves clients until a graceful shutdown is complete. `path` is the file that `config` was read from; it
+/// is read again on reload.
 pub(crate) fn serve(config: &Config, path: &Path) -> Result<(), ServeError> {
     let Started { mut poll, mut context, mut pooler } =
         retry(|| start(config, path), ServeError::is_transient)?;
@@ -99,14 +99,14 @@
 }
 
 impl Pooler {
-    /// Opens the listener and starts from the cached endpoint list.
+    /// Opens the listener and applies the cached endpoint list.
     fn new(config: &Config, path: &Path, context: &mut Context) -> Result<Pooler, ServeError> {
         let settings = &config.settings;
         let policy = Policy::new(settings.clone(), config.seed)?;
         let signals = register_signals(context)?;
         let limits = ConnectionLimits::new(config.max_descriptors)?;
-        // Half the memory is for buffers, statements and values, whichever of them needs it. The budget does
-        // not count the other half: the rest of the process uses it.
+        // Half of the memory is shared by buffers, statements and values. The other half is for the rest of
+        // the process, which the budget does not track.
         let budget = MemoryBudget::new(config.max_memory / 2);
         let listener = listen(config, &limits)?;
         let clients = limits.clients;
@@ -114,7 +114,7 @@
         let connect_timeout = duration_of(settings.connect_timeout);
         let max_retry_after = settings.send_retry_after.then(|| duration_of(settings.max_retry_after));
         let keepalive = duration_of(Span::from_secs(config.keepalive_timeout));
-        // Cancel keys must not follow the policy's random numbers, which are drawn with the seed itself.
+        // Cancel keys must be independent of the policy's random numbers, which use the seed itself.
         let key_seed = !config.seed;
         let frontend = Frontend::new(listener, clients, longest_deadline, budget.clone(), key_seed, context)?;
         let mut pooler = Pooler {
@@ -137,14 +137,14 @@
     }
 }
 
-/// Registers the signals that the pooler handles with the reactor.
+/// Registers the handled signals with the reactor.
 fn register_signals(context: &mut Context) -> io::Result<Signals> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP, SIGUSR1])?;
     context.reactor.register(&mut signals, EventSource::Signals, Interest::READABLE)?;
     Ok(signals)
 }
 
-/// Opens the socket that clients connect to.
+/// Opens the listening socket.
 fn listen(config: &Config, limits: &ConnectionLimits) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(config.listen)?;
     let address = listener.local_addr()?;
