--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -30,7 +30,7 @@
 mod tests;
 
 pub(crate) use backend_messages::{
-    empty_query_response, parse_parameter_status, ready_for_query, single_column, ParameterStatus,
+    empty_query_response, parse_parameter_status, ready_for_query, single_column_value, ParameterStatus,
 };
 pub(crate) use error_response::{error_response, parse_error_response, Severity};
 pub(crate) use framing::{read_backend_message, read_client_message, FrameError};
@@ -39,5 +39,6 @@
 pub(crate) use query::{parse_query, query_message, ParsedQuery};
 pub(crate) use sqlstate::is_statement_error;
 pub(crate) use startup::{
-    read_startup, session_start, startup_message, Startup, AUTHENTICATION_OK, ENCRYPTION_NOT_SUPPORTED,
+    read_startup, startup_message, startup_response, StartupRequest, AUTHENTICATION_OK,
+    ENCRYPTION_NOT_SUPPORTED,
 };
