--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -7,30 +7,37 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Less than the kernel's buffers would otherwise hold.
+/// Socket buffer size in bytes, smaller than the kernel's default.
 const SOCKET_BUFFER: usize = 4096;
-/// Far more than fits into the buffers of both sockets.
+/// Far more bytes than fit into the buffers of both sockets.
 const STATEMENT_LENGTH: usize = 150_000;
-/// By how much the time that an endpoint is given may exceed the time that its client still waits.
+/// By how much the timeout stated in a query may exceed the time that the client still waits.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-fn long_read(started_at: Instant) -> Exchange {
+fn exchange_with_long_statement(started_at: Instant) -> Exchange {
     let text = format!("/* d=5000 */ SELECT '{}'", "x".repeat(STATEMENT_LENGTH)).into_boxed_str();
     let statement = Statement { text, timeout_range: 5..9, memory: None };
     let attempt = AttemptTask { request: "1".into(), number: 0, statement: Rc::new(statement) };
     Exchange::new(Task::Attempt(attempt), started_at, TIMEOUT)
 }
 
-/// A connection whose session is started at an instant, to an endpoint that reads nothing more.
-fn connection_with_waiting_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
+/// Returns a connection that has started its session at `started_at`, and the socket of its endpoint, which
+/// reads nothing more.
+fn connection_with_blocked_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&listener).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).unwrap();
     socket2::SockRef::from(&stream).set_send_buffer_size(SOCKET_BUFFER).unwrap();
     let budget = MemoryBudget::new(1_000_000);
-    let mut connection =
-        Connection::new("db-1".into(), address, stream, long_read(started_at), CONNECT_TIMEOUT, &budget);
+    let mut connection = Connection::new(
+        "db-1".into(),
+        address,
+        stream,
+        exchange_with_long_statement(started_at),
+        CONNECT_TIMEOUT,
+        &budget,
+    );
     let (mut endpoint, _) = listener.accept().unwrap();
     while !connection.state.is_starting() {
         assert_eq!(connection.run_cycle(started_at), Progress::Pending);
@@ -41,34 +48,34 @@
     while connection.state.is_starting() {
         assert_eq!(connection.run_cycle(started_at), Progress::Pending);
     }
-    assert!(!connection.has_empty_buffers(), "the query does not fit into the socket");
+    assert!(!connection.has_empty_buffers(), "the query should not fit into the socket buffers");
     (connection, endpoint)
 }
 
-/// A query states how long its client waits. Once it waited in the buffer for as long as its client did, and
-/// the endpoint received a time that was over.
+/// A query states how long its client waits. A query that stayed in the output buffer until its deadline used
+/// to reach the endpoint with a timeout that had already passed.
 #[test]
-fn a_query_that_waits_to_be_written_is_given_up_before_its_deadline_is_wrong() {
+fn an_unwritten_query_fails_before_its_stated_timeout_is_outdated() {
     let started_at = Instant::now();
-    let (mut connection, _endpoint) = connection_with_waiting_query(started_at);
-    assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "it waits for too long");
+    let (mut connection, _endpoint) = connection_with_blocked_query(started_at);
+    assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "the write deadline is too late");
     let expired = connection.expire(started_at + DEADLINE_SLACK);
     assert_eq!(expired, Progress::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
-fn a_query_that_has_waited_too_long_is_not_written_when_the_endpoint_reads_again() {
+fn a_query_past_its_write_deadline_is_not_written_when_the_endpoint_reads_again() {
     let started_at = Instant::now();
-    let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
+    let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     let late = started_at + 2 * DEADLINE_SLACK;
     assert_eq!(connection.run_cycle(late), Progress::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
-fn a_query_that_is_written_has_all_its_time() {
+fn a_written_query_has_the_whole_deadline_of_its_exchange() {
     let started_at = Instant::now();
-    let (mut connection, mut endpoint) = connection_with_waiting_query(started_at);
+    let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     while !connection.has_empty_buffers() {
         assert_eq!(connection.run_cycle(started_at), Progress::Pending);
