--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -260,7 +260,7 @@
                 require_non_negative(wait, "specifics.wait")?;
                 Ok(StaleReadHandling::Reject)
             }
-            _ => Ok(StaleReadHandling::Serve),
+            _ => Ok(StaleReadHandling::ServeStale),
         }
     }
 }
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -56,7 +56,7 @@
         overload_limit: None,
         overload_window: secs(1.0),
         removal_is_advisory: false,
-        stale_reads: StaleReadHandling::Serve,
+        stale_reads: StaleReadHandling::ServeStale,
         session_tokens_carried: false,
     }
 }
--- a/src/policy/freshness/tests.rs
+++ b/src/policy/freshness/tests.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn an_endpoint_that_serves_stale_reads_must_be_known_to_be_fresh() {
-    let serves_stale = cluster(20.0, StaleReadHandling::Serve);
+    let serves_stale = cluster(20.0, StaleReadHandling::ServeStale);
     let endpoint = replica(9.9, 10.0);
     let at_position = |seconds| RequiredPosition::AtLeast(position(seconds));
     assert_eq!(freshness(&endpoint, at_position(9.9), &serves_stale), Freshness::Fresh);
@@ -51,7 +51,7 @@
 fn an_unknown_position_may_be_recent_enough_for_any_read() {
     let endpoint = EndpointState::new("replica".into(), 0, 0);
     let checks = cluster(20.0, StaleReadHandling::Reject);
-    let serves_stale = cluster(20.0, StaleReadHandling::Serve);
+    let serves_stale = cluster(20.0, StaleReadHandling::ServeStale);
     let required = RequiredPosition::AtLeast(position(19.9));
     assert_eq!(freshness(&endpoint, required, &checks), Freshness::PossiblyFresh);
     assert_eq!(freshness(&endpoint, required, &serves_stale), Freshness::Stale);
@@ -90,7 +90,7 @@
     let remote = EndpointState::new("remote".into(), 1, 0);
     assert!(!needs_refresh(&remote, &at_time(10.8)));
     assert!(
-        needs_refresh(&remote, &cluster(10.8, StaleReadHandling::Serve)),
+        needs_refresh(&remote, &cluster(10.8, StaleReadHandling::ServeStale)),
         "no read may be sent to learn the position"
     );
     assert_eq!(at_time(10.0).shortest_staleness_bound(), secs(1.0));
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StaleReadHandling {
     /// It answers with the data that it has.
-    Serve,
+    ServeStale,
     /// It rejects the read without executing it, at once or after it has waited for replication to catch up.
     Reject,
 }
@@ -116,7 +116,7 @@
 impl StaleReadHandling {
     /// Whether endpoints reject reads for which their data is too old.
     pub fn rejects_stale_reads(self) -> bool {
-        self != StaleReadHandling::Serve
+        self != StaleReadHandling::ServeStale
     }
 }
 
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -259,7 +259,7 @@
         is_primary: bool,
     ) -> Result<(), &'static str> {
         let position = target.log_position.unwrap_or(f64::NEG_INFINITY);
-        let serves_stale_reads = self.settings.stale_reads == StaleReadHandling::Serve;
+        let serves_stale_reads = self.settings.stale_reads == StaleReadHandling::ServeStale;
         match class.consistency {
             Consistency::Strong => require(is_primary, "a strong read goes only to the primary"),
             Consistency::Session if serves_stale_reads => require(
@@ -284,7 +284,7 @@
         let is_keyed = class.idempotency == Idempotency::IdempotencyKey;
         let by_position =
             matches!(class.consistency, Consistency::Session | Consistency::BoundedStaleness(_))
-                && self.settings.stale_reads == StaleReadHandling::Serve
+                && self.settings.stale_reads == StaleReadHandling::ServeStale
                 && self.believed_primary.get(&request.group) != Some(&Some(endpoint.clone()));
         let is_draining = |other: &EndpointRecord| other.group == request.group && other.draining;
         coverage.queued_requests += usize::from(is_first && self.now > request.arrived_at);
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -67,7 +67,7 @@
         watch_endpoints: random.bool(),
         max_watch_gap: secs([2.0, 10.0][random.usize(..2)]),
         removal_is_advisory: random.bool(),
-        stale_reads: if random.bool() { StaleReadHandling::Serve } else { StaleReadHandling::Reject },
+        stale_reads: if random.bool() { StaleReadHandling::ServeStale } else { StaleReadHandling::Reject },
         session_tokens_carried: random.bool(),
         ..settings
     }
@@ -176,7 +176,7 @@
     fn start_attempt(&mut self, id: Arc<str>, endpoint: Arc<str>, timeout: f64) {
         let request = &self.checker.requests[&id];
         let (attempt, class) = (request.attempts.len() - 1, request.class);
-        let rejects_stale_reads = self.settings.stale_reads != StaleReadHandling::Serve;
+        let rejects_stale_reads = self.settings.stale_reads != StaleReadHandling::ServeStale;
         let host = self.hosts.get(&endpoint, self.sim.now);
         let class = &self.settings.classes[class];
         let outcome = host.outcome(self.sim.now, class, rejects_stale_reads, &mut self.random);
--- a/tests/policy/read_routing.rs
+++ b/tests/policy/read_routing.rs
@@ -18,7 +18,7 @@
 
 /// Settings under which endpoints serve reads however old their data is.
 fn stale_reads_served() -> Settings {
-    Settings { stale_reads: StaleReadHandling::Serve, ..default_settings() }
+    Settings { stale_reads: StaleReadHandling::ServeStale, ..default_settings() }
 }
 
 #[test]
--- a/tests/policy/sessions.rs
+++ b/tests/policy/sessions.rs
@@ -10,7 +10,11 @@
 
 /// Settings under which the pooler remembers when each session last wrote, and endpoints serve stale reads.
 fn remembered_sessions() -> Settings {
-    Settings { stale_reads: StaleReadHandling::Serve, session_tokens_carried: false, ..default_settings() }
+    Settings {
+        stale_reads: StaleReadHandling::ServeStale,
+        session_tokens_carried: false,
+        ..default_settings()
+    }
 }
 
 fn request(sim: &mut Simulation, id: &str, class: usize) -> Vec<Action> {
@@ -19,7 +23,8 @@
 
 #[test]
 fn a_session_read_goes_to_a_replica_only_once_it_has_applied_the_sessions_write() {
-    let mut sim = Simulation::new(Settings { stale_reads: StaleReadHandling::Serve, ..default_settings() });
+    let mut sim =
+        Simulation::new(Settings { stale_reads: StaleReadHandling::ServeStale, ..default_settings() });
     sim.report_fresh(LOCAL_REPLICA);
     sim.now += 0.2;
     let read = |id: &str, age: f64| {
