--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -80,7 +80,7 @@
             // Assumes that both clocks agree: the policy converts the age back in the same way.
             session_token_age: query
                 .session_token
-                .map(|committed_at| reactor.policy_time(now) - committed_at.to_local(Span::ZERO)),
+                .map(|committed_at| reactor.policy_time(now) - committed_at.to_local_instant(Span::ZERO)),
             session: session.map(Into::into),
             tenant: self.tenant_index(&query.tenant),
             predicted_work: None,
--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -136,28 +136,28 @@
 
     /// Returns the latest possible time on the endpoints' clock at `now`, if it is bounded.
     pub(crate) fn latest(&self, now: LocalInstant) -> Option<ClusterInstant> {
-        self.known_max_offset(now).map(|offset| now.to_cluster(offset))
+        self.known_max_offset(now).map(|offset| now.to_cluster_instant(offset))
     }
 
     /// Returns the earliest possible time on the endpoints' clock at `now`, if it is bounded.
     pub(crate) fn earliest(&self, now: LocalInstant) -> Option<ClusterInstant> {
-        self.known_min_offset(now).map(|offset| now.to_cluster(offset))
+        self.known_min_offset(now).map(|offset| now.to_cluster_instant(offset))
     }
 
     /// Returns the estimated time on the endpoints' clock at `now`.
     pub(crate) fn estimate(&self, now: LocalInstant) -> ClusterInstant {
-        now.to_cluster(self.estimated_offset(now))
+        now.to_cluster_instant(self.estimated_offset(now))
     }
 
     /// Converts a time on the endpoints' clock to the pooler's clock, by the offset as estimated at `now`.
     pub(crate) fn to_local(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
-        time.to_local(self.estimated_offset(now))
+        time.to_local_instant(self.estimated_offset(now))
     }
 
     /// Whether a log position is finite and may have been reached by `now`.
     pub(crate) fn is_plausible(&self, position: LogPosition, now: LocalInstant) -> bool {
         let max_offset = self.known_max_offset(now).unwrap_or_default();
-        position.as_secs().is_finite() && position <= now.to_cluster(max_offset) + POSITION_ROUNDING
+        position.as_secs().is_finite() && position <= now.to_cluster_instant(max_offset) + POSITION_ROUNDING
     }
 }
 
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -90,7 +90,7 @@
 /// The session token that the client sent with a read, as a time on the pooler's clock.
 fn carried_token(request: &Request, now: LocalInstant) -> RequiredPosition {
     let written_at = request.session_token_age.map(|age| now - age);
-    RequiredPosition::from(written_at.map(|instant| instant.to_cluster(Span::ZERO)))
+    RequiredPosition::from(written_at.map(|instant| instant.to_cluster_instant(Span::ZERO)))
 }
 
 fn has_write_in_flight(session: Option<&Arc<str>>, pending: &RequestTable, cluster: &Cluster) -> bool {
--- a/src/time.rs
+++ b/src/time.rs
@@ -131,14 +131,14 @@
     pub const EPOCH: LocalInstant = LocalInstant(0.0);
 
     /// Converts to the endpoints' clock, which is ahead of the pooler's clock by `offset`.
-    pub fn to_cluster(self, offset: Span) -> ClusterInstant {
+    pub fn to_cluster_instant(self, offset: Span) -> ClusterInstant {
         ClusterInstant(self.0 + offset.0)
     }
 }
 
 impl ClusterInstant {
     /// Converts to the pooler's clock, which is behind the endpoints' clock by `offset`.
-    pub fn to_local(self, offset: Span) -> LocalInstant {
+    pub fn to_local_instant(self, offset: Span) -> LocalInstant {
         LocalInstant(self.0 - offset.0)
     }
 
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -28,8 +28,8 @@
 fn an_offset_converts_between_the_clocks() {
     let offset = cluster_at(103.0).offset_from(at(100.0));
     assert_eq!(offset, secs(3.0));
-    assert_eq!(at(101.0).to_cluster(offset), cluster_at(104.0));
-    assert_eq!(cluster_at(104.0).to_local(offset), at(101.0));
+    assert_eq!(at(101.0).to_cluster_instant(offset), cluster_at(104.0));
+    assert_eq!(cluster_at(104.0).to_local_instant(offset), at(101.0));
 }
 
 #[test]
