--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -4,19 +4,19 @@
 use pg_pooler::settings::Settings;
 
 use crate::harness::{
-    default_settings, final_answers, primary, rejects_with_retry_after, secs, sent_endpoints,
+    count_final_answers, default_settings, has_rejection_with_retry_after, primary, secs, sent_endpoints,
     FinishedAttempt, Simulation, BOUNDED_READ, KEYED_WRITE, LOCAL_ZONE, PRIMARY, STRONG_READ,
 };
 
 /// A group that consists of its primary alone.
-fn lone_primary(settings: Settings) -> Simulation {
+fn simulation_with_only_a_primary(settings: Settings) -> Simulation {
     let mut sim = Simulation::new(settings);
     sim.update_endpoints(UpdateKind::Snapshot, vec![primary(PRIMARY, LOCAL_ZONE)]);
     sim
 }
 
 /// The primary serves a request of its own after that time.
-fn serve_after(sim: &mut Simulation, id: &str, elapsed: f64) {
+fn finish_on_primary_after(sim: &mut Simulation, id: &str, elapsed: f64) {
     let served = FinishedAttempt::new(id, PRIMARY, Outcome::Success).elapsed(elapsed);
     sim.finish_attempt_with(served.role(Role::Primary));
 }
@@ -26,7 +26,7 @@
     let mut sim = Simulation::new(default_settings());
     let unknown_group = 77;
     let actions = sim.handle(Event::request("x", BOUNDED_READ, unknown_group, secs(1.0)));
-    assert!(rejects_with_retry_after(&actions));
+    assert!(has_rejection_with_retry_after(&actions));
 }
 
 /// Guards against ten attempts of one write within milliseconds at a primary that rejects for overload.
@@ -35,22 +35,22 @@
     let mut sim = Simulation::new(default_settings());
     sim.request("w", KEYED_WRITE);
     let actions = sim.finish_attempt("w", PRIMARY, 0, Outcome::Overloaded);
-    assert_eq!((sent_endpoints(&actions).len(), final_answers(&actions)), (0, 1));
-    assert!(rejects_with_retry_after(&actions));
+    assert_eq!((sent_endpoints(&actions).len(), count_final_answers(&actions)), (0, 1));
+    assert!(has_rejection_with_retry_after(&actions));
 }
 
 /// Each pooler admits a little whatever the latency, to notice a recovery. In a large fleet these requests
 /// together must not overload an endpoint.
 #[test]
-fn what_is_admitted_despite_overload_shrinks_with_the_size_of_the_fleet() {
+fn unconditional_admissions_decrease_with_the_number_of_poolers() {
     let admitted = |pooler_count: u32| {
-        let mut sim = lone_primary(Settings { pooler_count, ..default_settings() });
+        let mut sim = simulation_with_only_a_primary(Settings { pooler_count, ..default_settings() });
         // Answers near the deadline: nothing can be expected in time.
         for i in 0..60 {
             sim.advance_time(2.5);
             let id = format!("slow{i}");
             sim.request(&id, KEYED_WRITE);
-            serve_after(&mut sim, &id, 1.7);
+            finish_on_primary_after(&mut sim, &id, 1.7);
         }
         let first_action = sim.actions.len();
         for i in 0..50 {
@@ -66,17 +66,17 @@
 /// Of two classes of the same weight, the one that occupies endpoints for longer is shed first.
 #[test]
 fn under_overload_the_class_with_the_higher_latency_is_shed_first() {
-    let mut sim = lone_primary(Settings { pooler_count: 16, ..default_settings() });
-    let (slow, quick) = (KEYED_WRITE, STRONG_READ);
+    let mut sim = simulation_with_only_a_primary(Settings { pooler_count: 16, ..default_settings() });
+    let (slow, fast) = (KEYED_WRITE, STRONG_READ);
     for i in 0..80 {
         sim.advance_time(2.5);
-        let (class, elapsed) = if i % 2 == 0 { (slow, 0.32) } else { (quick, 0.05) };
+        let (class, elapsed) = if i % 2 == 0 { (slow, 0.32) } else { (fast, 0.05) };
         let id = format!("a{i}");
         assert_eq!(sent_endpoints(&sim.request(&id, class)), [PRIMARY]);
-        serve_after(&mut sim, &id, elapsed);
+        finish_on_primary_after(&mut sim, &id, elapsed);
     }
     assert_eq!(sent_endpoints(&sim.request("slow", slow)).len(), 0);
-    assert_eq!(sent_endpoints(&sim.request("quick", quick)), [PRIMARY]);
+    assert_eq!(sent_endpoints(&sim.request("fast", fast)), [PRIMARY]);
 }
 
 /// With a hundred poolers, a tenant's quota at each of them is below one request per second.
@@ -88,12 +88,12 @@
         over_quota_weight: 0.0,
         ..default_settings()
     };
-    let mut sim = lone_primary(settings);
+    let mut sim = simulation_with_only_a_primary(settings);
     for i in 0..60 {
         sim.advance_time(2.6);
         let id = format!("w{i}");
         assert_eq!(sent_endpoints(&sim.request(&id, KEYED_WRITE)), [PRIMARY], "request {i}");
-        serve_after(&mut sim, &id, 0.235);
+        finish_on_primary_after(&mut sim, &id, 0.235);
     }
     sim.request("one", KEYED_WRITE);
     sim.finish_attempt("one", PRIMARY, 0, Outcome::Overloaded);
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -8,7 +8,7 @@
     LOCAL_REPLICA, LOCAL_ZONE, PRIMARY,
 };
 
-fn with_status(id: &str, status: EndpointStatus) -> Endpoint {
+fn replica_with_status(id: &str, status: EndpointStatus) -> Endpoint {
     Endpoint { status, ..replica(id, LOCAL_ZONE) }
 }
 
@@ -17,7 +17,7 @@
     for status in [EndpointStatus::Draining, EndpointStatus::Removed] {
         let mut sim = Simulation::new(default_settings());
         sim.report_fresh(LOCAL_REPLICA);
-        sim.update_endpoints(UpdateKind::Delta, vec![with_status(LOCAL_REPLICA, status)]);
+        sim.update_endpoints(UpdateKind::Delta, vec![replica_with_status(LOCAL_REPLICA, status)]);
         for i in 0..20 {
             let actions = sim.request(&format!("a{i}"), EVENTUAL_READ);
             assert!(!sent_endpoints(&actions).contains(&LOCAL_REPLICA));
@@ -26,20 +26,26 @@
 }
 
 #[test]
-fn where_removal_is_advisory_only_draining_is_binding() {
+fn with_advisory_removal_only_draining_is_binding() {
     let settings = Settings { removal_is_advisory: true, ..default_settings() };
     let mut sim = Simulation::new(settings.clone());
     sim.update_endpoints(UpdateKind::Snapshot, vec![primary(PRIMARY, LOCAL_ZONE)]);
     assert_eq!(sent_endpoints(&sim.request("a", EVENTUAL_READ)), [LOCAL_REPLICA]);
 
     let mut sim = Simulation::new(settings);
-    sim.update_endpoints(UpdateKind::Delta, vec![with_status(LOCAL_REPLICA, EndpointStatus::Draining)]);
-    sim.update_endpoints(UpdateKind::Delta, vec![with_status(LOCAL_REPLICA, EndpointStatus::Removed)]);
+    sim.update_endpoints(
+        UpdateKind::Delta,
+        vec![replica_with_status(LOCAL_REPLICA, EndpointStatus::Draining)],
+    );
+    sim.update_endpoints(
+        UpdateKind::Delta,
+        vec![replica_with_status(LOCAL_REPLICA, EndpointStatus::Removed)],
+    );
     assert_ne!(sent_endpoints(&sim.request("a", EVENTUAL_READ)), [LOCAL_REPLICA]);
 }
 
 #[test]
-fn a_lost_watch_keeps_the_last_list_and_is_renewed() {
+fn a_lost_watch_keeps_the_last_list_and_is_restarted() {
     let mut sim = Simulation::new(Settings { watch_endpoints: true, ..default_settings() });
     assert!(sim.advance_time(0.2).contains(&Action::Watch));
     sim.handle(Event::WatchFailed);
@@ -50,31 +56,33 @@
 /// A drain is binding 6 s after discovery has announced it, whether or not the pooler could be reached. A
 /// backoff that grows with `max_watch_gap` would miss it.
 #[test]
-fn a_watch_that_fails_repeatedly_is_renewed_every_second() {
+fn a_watch_that_fails_repeatedly_is_restarted_every_second() {
     for max_watch_gap in [2.0, 10.0, 60.0] {
         let mut sim = Simulation::new(Settings {
             watch_endpoints: true,
             max_watch_gap: secs(max_watch_gap),
             ..default_settings()
         });
-        let watches = |actions: &[Action]| actions.iter().filter(|action| **action == Action::Watch).count();
+        let count_watches =
+            |actions: &[Action]| actions.iter().filter(|action| **action == Action::Watch).count();
         for _ in 0..10 {
             sim.handle(Event::WatchFailed);
-            assert_eq!(watches(&sim.advance_time(1.2)), 1, "{max_watch_gap}");
+            assert_eq!(count_watches(&sim.advance_time(1.2)), 1, "{max_watch_gap}");
         }
         // An unanswered call is given time: an update without entries may take 2 s.
-        assert_eq!(watches(&sim.advance_time(2.0)), 0, "{max_watch_gap}");
-        assert_eq!(watches(&sim.advance_time(2.2)), 1, "a call without any answer is repeated");
+        assert_eq!(count_watches(&sim.advance_time(2.0)), 0, "{max_watch_gap}");
+        assert_eq!(count_watches(&sim.advance_time(2.2)), 1, "a call without any answer is repeated");
     }
 }
 
 /// Guards against memory that grows with every endpoint ever listed, as when hosts are replaced in waves.
 #[test]
-fn removed_endpoints_are_forgotten_and_the_rest_stay_usable() {
+fn removed_endpoints_are_purged_and_the_others_stay_usable() {
     let mut sim = Simulation::new(default_settings());
     for i in 0..2000 {
         let (added, removed) = (format!("n{i}"), format!("n{}", i - 1));
-        let entries = vec![replica(&added, LOCAL_ZONE), with_status(&removed, EndpointStatus::Removed)];
+        let entries =
+            vec![replica(&added, LOCAL_ZONE), replica_with_status(&removed, EndpointStatus::Removed)];
         sim.update_endpoints(UpdateKind::Delta, entries);
         sim.report_fresh(&added);
         sim.advance_time(0.5);
@@ -82,16 +90,17 @@
     assert!(sim.policy.endpoint_count() <= 80, "{}", sim.policy.endpoint_count());
     sim.report_fresh("n1999");
     assert_ne!(sent_endpoints(&sim.request("a", EVENTUAL_READ)).len(), 0);
-    sim.update_endpoints(UpdateKind::Delta, vec![with_status("n3", EndpointStatus::Removed)]);
+    sim.update_endpoints(UpdateKind::Delta, vec![replica_with_status("n3", EndpointStatus::Removed)]);
     assert!(sim.policy.endpoint_count() <= 80);
 }
 
 /// Guards against memory that grows with every group ever listed.
 #[test]
-fn groups_whose_endpoints_were_removed_are_forgotten() {
+fn groups_whose_endpoints_were_removed_are_purged() {
     let mut sim = Simulation::new(default_settings());
     for group in 1..500 {
-        let entry = |group: u32, status| Endpoint { group, ..with_status(&format!("n{group}"), status) };
+        let entry =
+            |group: u32, status| Endpoint { group, ..replica_with_status(&format!("n{group}"), status) };
         sim.update_endpoints(
             UpdateKind::Delta,
             vec![entry(group, EndpointStatus::Serving), entry(group - 1, EndpointStatus::Removed)],
--- a/tests/policy/event_handling.rs
+++ b/tests/policy/event_handling.rs
@@ -3,8 +3,8 @@
 use pg_pooler::interface::{Event, Outcome, UpdateKind};
 
 use crate::harness::{
-    default_settings, final_answers, primary, secs, Simulation, BOUNDED_READ, KEYED_WRITE, LOCAL_REPLICA,
-    LOCAL_ZONE, PRIMARY, REMOTE_ZONE,
+    count_final_answers, default_settings, primary, secs, Simulation, BOUNDED_READ, KEYED_WRITE,
+    LOCAL_REPLICA, LOCAL_ZONE, PRIMARY, REMOTE_ZONE,
 };
 
 #[test]
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn unusual_but_legal_events_are_tolerated() {
+fn unusual_but_valid_events_are_tolerated() {
     let mut sim = Simulation::new(default_settings());
     sim.handle(Event::request("no time", KEYED_WRITE, 0, secs(0.0)));
     sim.handle(Event::request("negative time", BOUNDED_READ, 0, secs(-1.0)));
@@ -35,5 +35,5 @@
     sim.request("two primaries", KEYED_WRITE);
     sim.handle(Event::TimerExpired { cookie: 12345 });
     sim.advance_time(3.0);
-    assert_eq!(final_answers(&sim.actions), 5);
+    assert_eq!(count_final_answers(&sim.actions), 5);
 }
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -33,12 +33,12 @@
 pub const NON_IDEMPOTENT_WRITE: usize = 5;
 
 /// The endpoints of actions that send nothing.
-pub const NOWHERE: [&str; 0] = [];
+pub const NO_ENDPOINTS: [&str; 0] = [];
 
 /// Seconds that the client of [`Simulation::request`] waits.
 const CLIENT_TIMEOUT: f64 = 1.8;
 /// Seconds on the simulated clock when a simulation begins.
-const START: f64 = 100.0;
+const START_TIME: f64 = 100.0;
 /// Seed of simulations that do not name one.
 const DEFAULT_SEED: u64 = 1;
 
@@ -173,11 +173,11 @@
     ) -> Simulation {
         let mut simulation = Simulation {
             policy: Policy::new(settings, seed).unwrap(),
-            now: START,
+            now: START_TIME,
             actions: Vec::new(),
             timers: Vec::new(),
         };
-        simulation.update_endpoints(UpdateKind::Cached, endpoints(START));
+        simulation.update_endpoints(UpdateKind::Cached, endpoints(START_TIME));
         simulation
     }
 
@@ -203,7 +203,7 @@
     pub fn advance_time(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let first_action = self.actions.len();
-        while let Some((at, cookie)) = self.take_timer_until(end) {
+        while let Some((at, cookie)) = self.take_timer_due_by(end) {
             self.now = self.now.max(at);
             self.handle(Event::TimerExpired { cookie });
         }
@@ -212,7 +212,7 @@
     }
 
     /// Removes the earliest timer if it expires by then.
-    pub fn take_timer_until(&mut self, end: f64) -> Option<(f64, u64)> {
+    pub fn take_timer_due_by(&mut self, end: f64) -> Option<(f64, u64)> {
         let expiries = self.timers.iter().map(|(at, _)| at).enumerate();
         let (earliest, at) = expiries.min_by(|a, b| a.1.total_cmp(b.1))?;
         (*at <= end).then(|| self.timers.swap_remove(earliest))
@@ -301,18 +301,18 @@
 }
 
 /// How many requests got a final answer from the policy itself: a rejection or a failure.
-pub fn final_answers(actions: &[Action]) -> usize {
+pub fn count_final_answers(actions: &[Action]) -> usize {
     let is_final = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(is_final).count()
 }
 
 /// How many health checks were started.
-pub fn health_checks(actions: &[Action]) -> usize {
+pub fn count_health_checks(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
 }
 
 /// Whether some request was rejected with advice on when to retry.
-pub fn rejects_with_retry_after(actions: &[Action]) -> bool {
+pub fn has_rejection_with_retry_after(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Reject { retry_after: Some(wait), .. } if *wait > Span::ZERO))
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -14,13 +14,13 @@
 use super::records::{AttemptRecord, EndpointRecord, RequestRecord};
 
 /// Tolerance for rounding, in seconds.
-const ROUNDING: f64 = 1e-6;
+const TIME_ROUNDING: f64 = 1e-6;
 /// Log positions up to this far ahead of the clock are credible, as in the policy.
-const CLOCK_TOLERANCE: f64 = 0.001;
+const POSITION_ROUNDING: f64 = 0.001;
 
 /// An invariant that was broken, and by which request.
 pub struct Violation {
-    pub rule: &'static str,
+    pub invariant: &'static str,
     pub request: Arc<str>,
 }
 
@@ -31,9 +31,9 @@
     started_at: f64,
     endpoints: HashMap<Arc<str>, EndpointRecord>,
     /// The primary of each group as the policy last announced it.
-    believed_primary: HashMap<u32, Option<Arc<str>>>,
+    announced_primaries: HashMap<u32, Option<Arc<str>>>,
     /// The log position that includes all ended writes of each session.
-    session_writes: HashMap<Arc<str>, f64>,
+    session_commits: HashMap<Arc<str>, f64>,
     pub requests: HashMap<Arc<str>, RequestRecord>,
     pub coverage: Coverage,
 }
@@ -45,8 +45,8 @@
             now: started_at,
             started_at,
             endpoints: HashMap::new(),
-            believed_primary: HashMap::new(),
-            session_writes: HashMap::new(),
+            announced_primaries: HashMap::new(),
+            session_commits: HashMap::new(),
             requests: HashMap::new(),
             coverage: Coverage::default(),
         }
@@ -66,8 +66,8 @@
             Event::ClientDisconnected { id } => {
                 if let Some(request) = self.requests.get_mut(id) {
                     request.disconnected = true;
-                    let abandoned = request.attempts.iter().any(AttemptRecord::is_in_flight);
-                    self.coverage.abandoned_attempts += usize::from(abandoned);
+                    let is_in_flight = request.attempts.iter().any(AttemptRecord::is_in_flight);
+                    self.coverage.disconnects_in_flight += usize::from(is_in_flight);
                 }
             }
             Event::WatchFailed
@@ -125,7 +125,7 @@
             return self.now;
         }
         // A session that is unknown may have written until the pooler started.
-        self.session_writes.get(session).copied().unwrap_or(self.started_at)
+        self.session_commits.get(session).copied().unwrap_or(self.started_at)
     }
 
     fn observe_result(&mut self, result: &AttemptResult) {
@@ -138,8 +138,8 @@
             self.observe_write(session, result);
         }
         // A result that comes after the end of its request is not an answer to the client any more.
-        let is_over = self.requests.get(&result.id).is_some_and(RequestRecord::is_over);
-        if result.request_finished && !is_over {
+        let is_finished = self.requests.get(&result.id).is_some_and(RequestRecord::is_finished);
+        if result.request_finished && !is_finished {
             self.end_request(&result.id);
         }
     }
@@ -151,7 +151,7 @@
         let log_position = result.log_position.map(LogPosition::as_secs);
         let commit = log_position.filter(|commit| result.outcome == Outcome::Success && *commit <= self.now);
         let position = commit.unwrap_or(self.now);
-        let known = self.session_writes.entry(session).or_insert(position);
+        let known = self.session_commits.entry(session).or_insert(position);
         *known = known.max(position);
     }
 
@@ -160,8 +160,8 @@
     }
 
     fn observe_position(&mut self, endpoint: &Arc<str>, log_position: Option<f64>) {
-        let credible = log_position.filter(|p| p.is_finite() && *p <= self.now + CLOCK_TOLERANCE);
-        if let (Some(position), Some(record)) = (credible, self.endpoints.get_mut(endpoint)) {
+        let plausible = log_position.filter(|p| p.is_finite() && *p <= self.now + POSITION_ROUNDING);
+        if let (Some(position), Some(record)) = (plausible, self.endpoints.get_mut(endpoint)) {
             record.log_position = Some(record.log_position.map_or(position, |known| known.max(position)));
         }
     }
@@ -176,8 +176,9 @@
     pub fn check_action(&mut self, action: &Action) -> Result<(), Violation> {
         match action {
             Action::Send { id, endpoint, timeout } => {
-                self.check_send(id, endpoint, timeout.as_secs()).map_err(|rule| violation(rule, id))?;
-                self.count_send(id, endpoint);
+                self.check_send(id, endpoint, timeout.as_secs())
+                    .map_err(|invariant| violation(invariant, id))?;
+                self.record_coverage(id, endpoint);
                 let attempt = AttemptRecord { sent_at: self.now, outcome: None };
                 if let Some(request) = self.requests.get_mut(id) {
                     request.attempts.push(attempt);
@@ -186,14 +187,14 @@
             }
             Action::Reject { id, .. } | Action::Fail { id } => {
                 let rejects = matches!(action, Action::Reject { .. });
-                self.check_final_answer(id, rejects).map_err(|rule| violation(rule, id))?;
+                self.check_final_answer(id, rejects).map_err(|invariant| violation(invariant, id))?;
                 self.coverage.rejections += usize::from(rejects);
                 self.coverage.failures += usize::from(!rejects);
                 self.end_request(id);
                 Ok(())
             }
             Action::Log(StateChange::PrimaryChanged { group, primary }) => {
-                self.believed_primary.insert(*group, primary.clone());
+                self.announced_primaries.insert(*group, primary.clone());
                 Ok(())
             }
             _ => Ok(()),
@@ -202,13 +203,16 @@
 
     fn check_final_answer(&self, id: &Arc<str>, rejects: bool) -> Result<(), &'static str> {
         let request = self.requests.get(id).ok_or("a final answer goes to a request that was received")?;
-        require(!request.is_over(), "each request gets at most one final answer")?;
-        let is_in_time = self.now <= request.deadline + ROUNDING;
+        require(!request.is_finished(), "each request gets at most one final answer")?;
+        let is_in_time = self.now <= request.deadline + TIME_ROUNDING;
         require(is_in_time, "each request gets a final answer by its deadline")?;
         let class = &self.settings.classes[request.class];
-        let harmless = class.idempotency != Idempotency::NonIdempotent
-            || request.may_have_been_executed_since().is_none();
-        require(!rejects || harmless, "what may have been executed and is not idempotent fails, not rejected")
+        let is_retry_safe =
+            class.idempotency != Idempotency::NonIdempotent || request.possibly_executed_since().is_none();
+        require(
+            !rejects || is_retry_safe,
+            "what may have been executed and is not idempotent fails, not rejected",
+        )
     }
 
     fn check_send(&self, id: &Arc<str>, endpoint: &Arc<str>, timeout: f64) -> Result<(), &'static str> {
@@ -225,7 +229,7 @@
         require(!removed, "nothing is sent to a removed endpoint")?;
         let class = &self.settings.classes[request.class];
         self.check_repeat(request, class, timeout)?;
-        let is_primary = self.believed_primary.get(&request.group) == Some(&Some(endpoint.clone()));
+        let is_primary = self.announced_primaries.get(&request.group) == Some(&Some(endpoint.clone()));
         self.check_consistency(request, class, target, is_primary)
     }
 
@@ -236,8 +240,8 @@
         class: &RequestClass,
         timeout: f64,
     ) -> Result<(), &'static str> {
-        let Some(first) = request.may_have_been_executed_since() else { return Ok(()) };
-        let window_end = first + class.deduplication_window.as_secs() + ROUNDING;
+        let Some(first) = request.possibly_executed_since() else { return Ok(()) };
+        let window_end = first + class.deduplication_window.as_secs() + TIME_ROUNDING;
         match class.idempotency {
             Idempotency::Idempotent => Ok(()),
             Idempotency::NonIdempotent => {
@@ -263,11 +267,11 @@
         match class.consistency {
             Consistency::Strong => require(is_primary, "a strong read goes only to the primary"),
             Consistency::Session if serves_stale_reads => require(
-                is_primary || position + ROUNDING >= request.session_position,
+                is_primary || position + TIME_ROUNDING >= request.session_position,
                 "a session read goes only to an endpoint that has applied the session's writes",
             ),
             Consistency::BoundedStaleness(bound) if serves_stale_reads => require(
-                is_primary || position + ROUNDING >= self.now - bound.as_secs(),
+                is_primary || position + TIME_ROUNDING >= self.now - bound.as_secs(),
                 "a bounded read goes only to an endpoint that is fresh enough",
             ),
             _ => Ok(()),
@@ -275,43 +279,43 @@
     }
 
     /// Counts which invariants were at stake in an attempt that is about to start.
-    fn count_send(&mut self, id: &Arc<str>, endpoint: &Arc<str>) {
+    fn record_coverage(&mut self, id: &Arc<str>, endpoint: &Arc<str>) {
         let (request, coverage) = (&self.requests[id], &mut self.coverage);
         let class = &self.settings.classes[request.class];
         let is_first = request.attempts.is_empty();
         let is_hedged = request.attempts.iter().any(AttemptRecord::is_in_flight);
-        let is_repeat = request.may_have_been_executed_since().is_some();
+        let is_repeat = request.possibly_executed_since().is_some();
         let is_keyed = class.idempotency == Idempotency::IdempotencyKey;
         let by_position =
             matches!(class.consistency, Consistency::Session | Consistency::BoundedStaleness(_))
                 && self.settings.stale_reads == StaleReadHandling::Serve
-                && self.believed_primary.get(&request.group) != Some(&Some(endpoint.clone()));
+                && self.announced_primaries.get(&request.group) != Some(&Some(endpoint.clone()));
         let is_draining = |other: &EndpointRecord| other.group == request.group && other.draining;
         coverage.queued_requests += usize::from(is_first && self.now > request.arrived_at);
         coverage.retries += usize::from(!is_first && !is_hedged);
         coverage.hedged_requests += usize::from(is_hedged);
         coverage.keyed_repeats += usize::from(is_repeat && is_keyed);
         coverage.reads_by_position += usize::from(by_position);
-        coverage.sends_during_a_drain += usize::from(self.endpoints.values().any(is_draining));
+        coverage.sends_during_drain += usize::from(self.endpoints.values().any(is_draining));
     }
 
     /// Checks, once every deadline has passed, that each request got its final answer.
-    pub fn check_end(&self) -> Result<(), Violation> {
-        match self.requests.iter().find(|(_, request)| !request.is_over()) {
+    pub fn check_all_answered(&self) -> Result<(), Violation> {
+        match self.requests.iter().find(|(_, request)| !request.is_finished()) {
             Some((id, _)) => Err(violation("each request gets a final answer", id)),
             None => Ok(()),
         }
     }
 }
 
-fn require(holds: bool, rule: &'static str) -> Result<(), &'static str> {
+fn require(holds: bool, invariant: &'static str) -> Result<(), &'static str> {
     if holds {
         Ok(())
     } else {
-        Err(rule)
+        Err(invariant)
     }
 }
 
-fn violation(rule: &'static str, request: &Arc<str>) -> Violation {
-    Violation { rule, request: request.clone() }
+fn violation(invariant: &'static str, request: &Arc<str>) -> Violation {
+    Violation { invariant, request: request.clone() }
 }
--- a/tests/policy/invariants/coverage.rs
+++ b/tests/policy/invariants/coverage.rs
@@ -1,7 +1,7 @@
 //! Counts how often the random events reach the states in which the invariants matter.
 
 /// Each count must be at least this over the seeds of a test case.
-const SUFFICIENT: usize = 25;
+const MIN_COUNT: usize = 25;
 
 /// How often the policy did what the invariants restrict.
 #[derive(Clone, Debug, Default)]
@@ -17,11 +17,11 @@
     /// Bounded and session reads sent to a replica that would serve stale data.
     pub reads_by_position: usize,
     /// Requests sent while an endpoint of their group was draining.
-    pub sends_during_a_drain: usize,
+    pub sends_during_drain: usize,
     pub rejections: usize,
     pub failures: usize,
     /// Requests whose client disconnected while an attempt was in flight.
-    pub abandoned_attempts: usize,
+    pub disconnects_in_flight: usize,
 }
 
 impl Coverage {
@@ -32,10 +32,10 @@
             ("hedged requests", self.hedged_requests),
             ("keyed repeats", self.keyed_repeats),
             ("reads by position", self.reads_by_position),
-            ("sends during a drain", self.sends_during_a_drain),
+            ("sends during a drain", self.sends_during_drain),
             ("rejections", self.rejections),
             ("failures", self.failures),
-            ("abandoned attempts", self.abandoned_attempts),
+            ("abandoned attempts", self.disconnects_in_flight),
         ]
     }
 
@@ -45,15 +45,15 @@
         self.hedged_requests += other.hedged_requests;
         self.keyed_repeats += other.keyed_repeats;
         self.reads_by_position += other.reads_by_position;
-        self.sends_during_a_drain += other.sends_during_a_drain;
+        self.sends_during_drain += other.sends_during_drain;
         self.rejections += other.rejections;
         self.failures += other.failures;
-        self.abandoned_attempts += other.abandoned_attempts;
+        self.disconnects_in_flight += other.disconnects_in_flight;
     }
 
     pub fn assert_sufficient(&self) {
         for (name, count) in self.counts() {
-            assert!(count >= SUFFICIENT, "only {count} {name}: {self:?}");
+            assert!(count >= MIN_COUNT, "only {count} {name}: {self:?}");
         }
     }
 }
--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -10,7 +10,7 @@
 const ENDPOINTS_PER_GROUP: u32 = 4;
 const ZONES: u32 = 2;
 /// How far a session read's data may lag before an endpoint that checks rejects it.
-const SESSION_LAG: f64 = 1.0;
+const MAX_SESSION_LAG: f64 = 1.0;
 
 /// How an endpoint treats the attempts that reach it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,7 +31,7 @@
     pub is_primary: bool,
     pub condition: Condition,
     /// The log position that it has applied.
-    pub applied: f64,
+    pub applied_position: f64,
 }
 
 impl Host {
@@ -72,8 +72,8 @@
 
     fn is_stale(&self, now: f64, consistency: Consistency) -> bool {
         match consistency {
-            Consistency::BoundedStaleness(bound) => self.applied < now - bound.as_secs(),
-            Consistency::Session => self.applied < now - SESSION_LAG,
+            Consistency::BoundedStaleness(bound) => self.applied_position < now - bound.as_secs(),
+            Consistency::Session => self.applied_position < now - MAX_SESSION_LAG,
             Consistency::Write | Consistency::Strong | Consistency::Eventual => false,
         }
     }
@@ -84,7 +84,7 @@
             0 => Some(now + 1e6),
             1 => Some(f64::NAN),
             2..=5 => None,
-            _ => Some(self.applied).filter(|applied| applied.is_finite()),
+            _ => Some(self.applied_position).filter(|position| position.is_finite()),
         }
     }
 }
@@ -106,7 +106,7 @@
                 role: Role::primary_if(is_primary),
                 ..Endpoint::default()
             };
-            Host { entry, is_primary, condition: Condition::Healthy, applied: f64::NEG_INFINITY }
+            Host { entry, is_primary, condition: Condition::Healthy, applied_position: f64::NEG_INFINITY }
         };
         Hosts((0..GROUPS * ENDPOINTS_PER_GROUP).map(host).collect())
     }
@@ -115,23 +115,23 @@
     pub fn get(&mut self, id: &Arc<str>, now: f64) -> &Host {
         let host = self.0.iter_mut().find(|host| host.entry.id == *id).expect("a listed endpoint");
         if host.is_primary {
-            host.applied = now;
+            host.applied_position = now;
         }
         host
     }
 
     /// The entries of a complete list.
-    pub fn listed(&self) -> Vec<Endpoint> {
+    pub fn list_entries(&self) -> Vec<Endpoint> {
         let listed = self.0.iter().filter(|host| host.entry.status != EndpointStatus::Removed);
         listed.map(|host| host.entry.clone()).collect()
     }
 
     /// Lets replicas catch up, and now and then changes the condition or the role of an endpoint.
-    pub fn change(&mut self, now: f64, random: &mut fastrand::Rng) {
+    pub fn change_randomly(&mut self, now: f64, random: &mut fastrand::Rng) {
         let index = random.usize(..self.0.len());
         let host = &mut self.0[index];
         if !host.is_primary && random.u32(..3) > 0 {
-            host.applied = host.applied.max(now - 0.7 * random.f64().powi(3));
+            host.applied_position = host.applied_position.max(now - 0.7 * random.f64().powi(3));
         }
         match random.u32(..50) {
             0..=1 => {
@@ -145,7 +145,7 @@
     }
 
     fn promote(&mut self, index: usize, now: f64) {
-        self.0[index].applied = now;
+        self.0[index].applied_position = now;
         let group = self.0[index].entry.group;
         for (other, host) in self.0.iter_mut().enumerate().filter(|(_, host)| host.entry.group == group) {
             host.is_primary = other == index;
@@ -153,7 +153,7 @@
     }
 
     /// What discovery says next: the status, role, start or group of an endpoint, the whole list, or nothing.
-    pub fn list_update(&mut self, now: f64, random: &mut fastrand::Rng) -> Event {
+    pub fn random_list_update(&mut self, now: f64, random: &mut fastrand::Rng) -> Event {
         let kind = match random.u32(..10) {
             0 => None,
             1..=2 => Some(UpdateKind::Snapshot),
@@ -176,7 +176,7 @@
         let Some(kind) = kind else { return Event::WatchFailed };
         let endpoints = match kind {
             UpdateKind::Delta => vec![host.entry.clone()],
-            UpdateKind::Snapshot | UpdateKind::Cached => self.listed(),
+            UpdateKind::Snapshot | UpdateKind::Cached => self.list_entries(),
         };
         Event::EndpointsUpdated { kind, endpoints }
     }
--- a/tests/policy/invariants/mod.rs
+++ b/tests/policy/invariants/mod.rs
@@ -22,7 +22,7 @@
 /// Runs the seeds of a case and reports the failure that took the fewest events. Fails as well when the
 /// events no longer reach the states in which the invariants matter.
 #[rstest]
-fn random_events_never_break_an_invariant(#[values(0, 1, 2, 3)] case: u64) {
+fn random_events_never_violate_an_invariant(#[values(0, 1, 2, 3)] case: u64) {
     let mut coverage = Coverage::default();
     let mut failures: Vec<Failure> = Vec::new();
     for seed in case * SEEDS_PER_CASE..(case + 1) * SEEDS_PER_CASE {
--- a/tests/policy/invariants/records.rs
+++ b/tests/policy/invariants/records.rs
@@ -27,7 +27,7 @@
         self.outcome.is_none()
     }
 
-    pub fn may_have_been_executed(&self) -> bool {
+    pub fn may_be_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.proves_not_executed())
     }
 }
@@ -49,13 +49,13 @@
 }
 
 impl RequestRecord {
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.final_answers > 0 || self.disconnected
     }
 
     /// When the first attempt was sent that may have been executed, or may yet be.
-    pub fn may_have_been_executed_since(&self) -> Option<f64> {
-        let attempts = self.attempts.iter().filter(|attempt| attempt.may_have_been_executed());
+    pub fn possibly_executed_since(&self) -> Option<f64> {
+        let attempts = self.attempts.iter().filter(|attempt| attempt.may_be_executed());
         attempts.map(|attempt| attempt.sent_at).reduce(f64::min)
     }
 }
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -12,7 +12,7 @@
 use crate::harness::{default_settings, secs, Simulation, KEYED_WRITE};
 
 /// Past every deadline, so that each request must have been answered.
-const SETTLING_TIME: f64 = 5.0;
+const SETTLE_TIME: f64 = 5.0;
 const CONNECT_TIME: f64 = 0.01;
 
 /// The result of an attempt or a health check that is on its way to the policy.
@@ -32,8 +32,8 @@
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Violation { rule, request } = &self.violation;
-        writeln!(f, "seed {}, event {}, request {request}: {rule}", self.seed, self.events)?;
+        let Violation { invariant, request } = &self.violation;
+        writeln!(f, "seed {}, event {}, request {request}: {invariant}", self.seed, self.events)?;
         self.trace.iter().try_for_each(|line| writeln!(f, "  {line}"))
     }
 }
@@ -48,7 +48,7 @@
     hosts: Hosts,
     pending: Vec<Pending>,
     /// Requests that may still get their final answer.
-    live: Vec<Arc<str>>,
+    unfinished: Vec<Arc<str>>,
     history: Vec<(f64, Event, Vec<Action>)>,
     requests: usize,
 }
@@ -78,22 +78,22 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let settings = random_settings(&mut random);
         let hosts = Hosts::new();
-        let listed = hosts.listed();
-        let sim = Simulation::with_endpoints(settings.clone(), seed, |_| listed.clone());
+        let entries = hosts.list_entries();
+        let sim = Simulation::with_endpoints(settings.clone(), seed, |_| entries.clone());
         let mut checker = Checker::new(settings.clone(), sim.now);
-        let first = Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: listed };
+        let first = Event::EndpointsUpdated { kind: UpdateKind::Cached, endpoints: entries };
         checker.observe_event(sim.now, &first);
         for action in &sim.actions {
             assert!(checker.check_action(action).is_ok(), "nothing is sent before the first request");
         }
         let history = vec![(sim.now, first, sim.actions.clone())];
-        let (pending, live) = (Vec::new(), Vec::new());
-        Workload { seed, random, settings, sim, checker, hosts, pending, live, history, requests: 0 }
+        let (pending, unfinished) = (Vec::new(), Vec::new());
+        Workload { seed, random, settings, sim, checker, hosts, pending, unfinished, history, requests: 0 }
     }
 
     /// Delivers so many random events and then waits until every request is over.
     pub fn run(&mut self, events: usize) -> Result<(), Failure> {
-        self.run_unreported(events).map_err(|violation| Failure {
+        self.run_events(events).map_err(|violation| Failure {
             seed: self.seed,
             events: self.history.len(),
             trace: self.trace_of(&violation.request),
@@ -101,7 +101,7 @@
         })
     }
 
-    fn run_unreported(&mut self, events: usize) -> Result<(), Violation> {
+    fn run_events(&mut self, events: usize) -> Result<(), Violation> {
         for _ in 0..events {
             let pause = match self.random.u32(..100) {
                 0 => 10.0,
@@ -113,8 +113,8 @@
             let event = self.next_event();
             self.deliver(event)?;
         }
-        self.advance_time(SETTLING_TIME)?;
-        self.checker.check_end()
+        self.advance_time(SETTLE_TIME)?;
+        self.checker.check_all_answered()
     }
 
     /// Advances the clock and delivers the timers and results that come due, in their order.
@@ -125,13 +125,13 @@
                 .min_by(|a, b| self.pending[*a].due.total_cmp(&self.pending[*b].due))
                 .filter(|index| self.pending[*index].due <= end);
             let horizon = earliest.map_or(end, |index| self.pending[index].due);
-            if let Some((at, cookie)) = self.sim.take_timer_until(horizon) {
+            if let Some((at, cookie)) = self.sim.take_timer_due_by(horizon) {
                 self.sim.now = self.sim.now.max(at);
                 self.deliver(Event::TimerExpired { cookie })?;
             } else if let Some(index) = earliest {
                 let pending = self.pending.swap_remove(index);
                 self.sim.now = self.sim.now.max(pending.due);
-                let event = self.dated(pending);
+                let event = self.complete_result(pending);
                 self.deliver(event)?;
             } else {
                 self.sim.now = end;
@@ -141,12 +141,12 @@
     }
 
     /// Adds to a result what is known only when it arrives.
-    fn dated(&mut self, pending: Pending) -> Event {
+    fn complete_result(&mut self, pending: Pending) -> Event {
         let Event::AttemptFinished(result) = pending.event else { return pending.event };
         let request = &self.checker.requests[&result.id];
         // A client that has disconnected gets no answer, so its request may count as finished or not.
-        let is_over = request.final_answers > 0 || request.disconnected && self.random.bool();
-        let request_finished = result.request_finished || is_over;
+        let is_finished = request.final_answers > 0 || request.disconnected && self.random.bool();
+        let request_finished = result.request_finished || is_finished;
         let elapsed = self.sim.now - pending.sent_at;
         Event::AttemptFinished(AttemptResult { request_finished, elapsed: secs(elapsed), ..result })
     }
@@ -157,14 +157,14 @@
         self.history.push((self.sim.now, event, actions.clone()));
         for action in actions {
             self.checker.check_action(&action)?;
-            self.carry_out(action);
+            self.execute(action);
         }
         let requests = &self.checker.requests;
-        self.live.retain(|id| !requests[id].is_over());
+        self.unfinished.retain(|id| !requests[id].is_finished());
         Ok(())
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, endpoint, timeout } => self.start_attempt(id, endpoint, timeout.as_secs()),
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(&id, attempt),
@@ -244,13 +244,14 @@
     }
 
     fn next_event(&mut self) -> Event {
-        self.hosts.change(self.sim.now, &mut self.random);
-        let live = (!self.live.is_empty()).then(|| self.live[self.random.usize(..self.live.len())].clone());
-        match (self.random.u32(..100), live) {
+        self.hosts.change_randomly(self.sim.now, &mut self.random);
+        let unfinished = (!self.unfinished.is_empty())
+            .then(|| self.unfinished[self.random.usize(..self.unfinished.len())].clone());
+        match (self.random.u32(..100), unfinished) {
             (0..=3, Some(id)) => Event::ClientDisconnected { id },
             (4..=5, Some(id)) if self.has_attempt_in_flight(&id) => Event::ResponseStarted { id },
             (6, Some(id)) => Event::ShutdownImminent { id },
-            (7..=14, _) => self.hosts.list_update(self.sim.now, &mut self.random),
+            (7..=14, _) => self.hosts.random_list_update(self.sim.now, &mut self.random),
             _ => self.new_request(),
         }
     }
@@ -262,7 +263,7 @@
     fn new_request(&mut self) -> Event {
         let id: Arc<str> = format!("request-{}", self.requests).into();
         self.requests += 1;
-        self.live.push(id.clone());
+        self.unfinished.push(id.clone());
         let random = &mut self.random;
         Event::Request(Request {
             id,
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -5,7 +5,7 @@
 
 use crate::harness::{
     default_settings, first_endpoint, secs, sent_endpoints, FinishedAttempt, Simulation, EVENTUAL_READ,
-    KEYED_WRITE, LOCAL_REPLICA, NOWHERE, PRIMARY, REMOTE_REPLICA,
+    KEYED_WRITE, LOCAL_REPLICA, NO_ENDPOINTS, PRIMARY, REMOTE_REPLICA,
 };
 
 #[test]
@@ -25,7 +25,7 @@
 /// Guards against ejecting the primary for rejecting malformed requests, such as a write whose statement
 /// reads.
 #[test]
-fn a_request_that_every_endpoint_would_reject_ejects_none() {
+fn invalid_requests_eject_no_endpoint() {
     let mut sim = Simulation::new(default_settings());
     for i in 0..5 {
         let id = format!("bad{i}");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_group_whose_endpoints_all_failed_is_still_tried() {
+fn endpoints_are_still_tried_after_all_of_a_group_have_failed() {
     let mut sim = Simulation::new(default_settings());
     for (i, endpoint) in [LOCAL_REPLICA, REMOTE_REPLICA, PRIMARY].iter().enumerate() {
         sim.report_fresh(endpoint);
@@ -55,7 +55,7 @@
 /// A connection that breaks says nothing of a restart. Were each broken one the start of a slow start, a
 /// fault of the network would leave the whole group without capacity.
 #[test]
-fn broken_connections_do_not_put_an_endpoint_into_slow_start() {
+fn connection_resets_do_not_put_an_endpoint_into_slow_start() {
     let mut sim = Simulation::new(default_settings());
     sim.report_fresh(LOCAL_REPLICA);
     for i in 0..3 {
@@ -90,7 +90,7 @@
 }
 
 /// A primary that has answered forty writes.
-fn simulation_with_proven_primary() -> Simulation {
+fn simulation_with_responding_primary() -> Simulation {
     let mut sim = Simulation::new(default_settings());
     for i in 0..40 {
         let id = format!("w{i}");
@@ -105,14 +105,14 @@
 /// No other endpoint can take the writes of a primary. One connection that is silent, or could not be
 /// established, does not eject it; the second one does.
 #[test]
-fn a_primary_is_ejected_only_at_the_second_silent_connection() {
-    let mut sim = simulation_with_proven_primary();
+fn a_primary_is_ejected_only_at_the_second_silent_or_failed_connection() {
+    let mut sim = simulation_with_responding_primary();
     for (id, endpoints) in [("1", vec![PRIMARY]), ("2", vec![PRIMARY]), ("3", vec![])] {
         assert_eq!(sent_endpoints(&sim.request(id, KEYED_WRITE)), endpoints, "{id}");
         sim.advance_time(0.25);
     }
 
-    let mut sim = simulation_with_proven_primary();
+    let mut sim = simulation_with_responding_primary();
     sim.request("1", KEYED_WRITE);
     for (attempt, endpoints) in [(0, vec![PRIMARY]), (1, vec![])] {
         sim.now += 0.25;
@@ -124,7 +124,7 @@
 /// Single connections break as well, through faults of the network. An endpoint that goes on answering keeps
 /// its requests; one that stops answering does not.
 #[test]
-fn broken_connections_eject_only_an_endpoint_that_stops_answering() {
+fn connection_failures_eject_only_an_endpoint_that_stops_answering() {
     for (fault, tolerated) in [(Outcome::ConnectionReset, 3), (Outcome::ConnectFailed, 1)] {
         let mut sim = Simulation::new(default_settings());
         sim.request("w", KEYED_WRITE);
@@ -135,14 +135,14 @@
             sim.disconnect_client(&id);
             sim.finish_attempt(&id, PRIMARY, 0, fault);
         }
-        assert_eq!(sent_endpoints(&sim.request("queued", KEYED_WRITE)), NOWHERE, "{fault:?}");
+        assert_eq!(sent_endpoints(&sim.request("queued", KEYED_WRITE)), NO_ENDPOINTS, "{fault:?}");
     }
 }
 
 /// Of many poolers, each with a few idle connections, an endpoint's connection table can fill up, so that it
 /// refuses all new ones. Poolers of a large fleet therefore close theirs when one is refused.
 #[test]
-fn poolers_of_a_large_fleet_close_idle_connections_after_a_refused_one() {
+fn poolers_of_a_large_fleet_close_idle_connections_after_a_refusal() {
     let closes_idle_connections = |pooler_count: u32| {
         let settings = Settings { pooler_count, ..default_settings() };
         let mut sim = Simulation::new(settings);
@@ -160,7 +160,7 @@
 
 /// A host may drop a request with very little time left without a word. Two such requests once ejected it.
 #[test]
-fn timeouts_that_are_shorter_than_an_answer_takes_eject_no_endpoint() {
+fn timeouts_shorter_than_the_usual_latency_eject_no_endpoint() {
     let mut sim = Simulation::new(default_settings());
     for i in 0..5 {
         let id = format!("short{i}");
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -4,8 +4,8 @@
 use pg_pooler::settings::Settings;
 
 use crate::harness::{
-    default_settings, first_endpoint, health_checks, primary, replica, sent_endpoints, FinishedAttempt,
-    Simulation, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, NOWHERE, PRIMARY, REMOTE_REPLICA,
+    count_health_checks, default_settings, first_endpoint, primary, replica, sent_endpoints, FinishedAttempt,
+    Simulation, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, NO_ENDPOINTS, PRIMARY, REMOTE_REPLICA,
     STRONG_READ,
 };
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_demoted_primary_gets_no_more_requests_and_the_queue_moves_to_its_successor() {
+fn a_demoted_primary_gets_no_requests_and_the_queue_goes_to_the_new_primary() {
     let mut sim = Simulation::new(default_settings());
     sim.request("w", KEYED_WRITE);
     demote_primary(&mut sim, "w");
@@ -32,7 +32,7 @@
 /// Answers may arrive out of order. One written while its endpoint was still the primary must not outweigh an
 /// answer written later that arrived first: a strong read would go to a replica.
 #[test]
-fn a_delayed_claim_is_as_old_as_its_log_position() {
+fn a_delayed_claim_is_dated_by_its_log_position() {
     let mut sim = Simulation::new(default_settings());
     sim.update_endpoints(UpdateKind::Snapshot, vec![replica(LOCAL_REPLICA, LOCAL_ZONE)]);
     let start = sim.now;
@@ -43,7 +43,7 @@
     sim.now += 0.1;
     sim.finish_attempt_with(claim("delayed", LOCAL_REPLICA, Role::Primary, start + 0.05));
     sim.now += 0.01;
-    assert_eq!(sent_endpoints(&sim.request("strong", STRONG_READ)), NOWHERE, "no primary is known");
+    assert_eq!(sent_endpoints(&sim.request("strong", STRONG_READ)), NO_ENDPOINTS, "no primary is known");
     // A claim at the present position counts: the queued read goes there.
     let endpoint = sim.route("again", EVENTUAL_READ);
     let promoted = sim.finish_attempt_with(claim("again", &endpoint, Role::Primary, sim.now));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_newer_claim_outweighs_an_older_one_and_the_endpoint_list() {
+fn a_newer_claim_overrides_an_older_one_and_the_endpoint_list() {
     let mut sim = Simulation::new(default_settings());
     sim.finish_attempt_with(claim("x", PRIMARY, Role::Primary, sim.now));
     sim.now += 1.0;
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn queued_writes_are_released_gradually_to_a_new_primary() {
+fn queued_writes_are_dispatched_gradually_to_a_new_primary() {
     let mut sim = Simulation::new(default_settings());
     sim.request("first", KEYED_WRITE);
     sim.finish_attempt("first", PRIMARY, 0, Outcome::ConnectFailed);
@@ -113,7 +113,7 @@
     }
     sim.request("w", KEYED_WRITE);
     sim.finish_attempt("w", PRIMARY, 0, Outcome::ConnectFailed);
-    let checks = health_checks(&sim.advance_time(0.3));
+    let checks = count_health_checks(&sim.advance_time(0.3));
     assert!(checks >= 3, "{checks}");
 }
 
@@ -123,7 +123,7 @@
 fn health_checks_are_limited_by_a_budget_that_requests_refill() {
     let mut sim = Simulation::new(Settings { health_checks: true, ..default_settings() });
     sim.advance_time(5.0);
-    assert_eq!(health_checks(&sim.actions), 0, "there are no requests");
+    assert_eq!(count_health_checks(&sim.actions), 0, "there are no requests");
     sim.request("w", KEYED_WRITE);
     demote_primary(&mut sim, "w");
     sim.request("w2", KEYED_WRITE);
@@ -135,7 +135,7 @@
         }
         sim.request("more", KEYED_WRITE);
     }
-    let checks = health_checks(&sim.actions);
+    let checks = count_health_checks(&sim.actions);
     assert!((3..=40).contains(&checks), "{checks}");
     let is_ejection = |action: &Action| matches!(action, Action::Log(StateChange::Ejected(_)));
     assert!(!sim.actions.iter().any(is_ejection));
--- a/tests/policy/read_routing.rs
+++ b/tests/policy/read_routing.rs
@@ -4,8 +4,8 @@
 use pg_pooler::settings::{Settings, StaleReadHandling};
 
 use crate::harness::{
-    default_settings, final_answers, first_endpoint, replica, sent_endpoints, FinishedAttempt, Simulation,
-    BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, PRIMARY, REMOTE_REPLICA,
+    count_final_answers, default_settings, first_endpoint, replica, sent_endpoints, FinishedAttempt,
+    Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA, LOCAL_ZONE, PRIMARY, REMOTE_REPLICA,
     REMOTE_ZONE, STRONG_READ,
 };
 
@@ -17,7 +17,7 @@
 const FRESH_REPLICA: &str = "fresh-replica";
 
 /// Settings under which endpoints serve reads however old their data is.
-fn stale_reads_served() -> Settings {
+fn settings_that_serve_stale_reads() -> Settings {
     Settings { stale_reads: StaleReadHandling::Serve, ..default_settings() }
 }
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_read_leaves_its_zone_only_for_less_than_half_the_load_and_three_requests_fewer() {
+fn a_read_spills_over_only_to_less_than_half_the_load_and_three_requests_fewer() {
     let mut sim = Simulation::new(default_settings());
     sim.report_fresh(LOCAL_REPLICA);
     sim.report_fresh(REMOTE_REPLICA);
@@ -44,15 +44,15 @@
 
 #[test]
 fn a_replica_that_is_too_stale_gets_no_bounded_reads() {
-    let mut sim = Simulation::new(stale_reads_served());
+    let mut sim = Simulation::new(settings_that_serve_stale_reads());
     sim.report_fresh(LOCAL_REPLICA);
     sim.now += 0.6;
     sim.report_fresh(REMOTE_REPLICA);
     assert_eq!(sent_endpoints(&sim.request("b", BOUNDED_READ)), [REMOTE_REPLICA]);
     sim.now += 0.6;
-    let too_late = sim.request("c", BOUNDED_READ);
+    let without_fresh_replica = sim.request("c", BOUNDED_READ);
     assert_eq!(
-        sent_endpoints(&too_late),
+        sent_endpoints(&without_fresh_replica),
         [PRIMARY],
         "an endpoint that serves stale reads must be known fresh"
     );
@@ -60,13 +60,13 @@
 
 #[test]
 fn a_log_position_in_the_future_is_ignored() {
-    let mut sim = Simulation::new(stale_reads_served());
+    let mut sim = Simulation::new(settings_that_serve_stale_reads());
     sim.report_position(LOCAL_REPLICA, sim.now + 50.0);
     assert_eq!(sent_endpoints(&sim.request("b", BOUNDED_READ)), [PRIMARY]);
 }
 
 #[test]
-fn where_stale_reads_are_rejected_a_replica_of_unknown_position_is_tried_once() {
+fn with_stale_reads_rejected_a_replica_of_unknown_position_is_tried_once() {
     let mut sim = Simulation::new(default_settings());
     assert_eq!(sent_endpoints(&sim.request("b", BOUNDED_READ)), [LOCAL_REPLICA]);
     let rejected = FinishedAttempt::new("b", LOCAL_REPLICA, Outcome::Ineligible).role(Role::Replica);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_eventual_read_goes_to_the_local_replica_that_lags() {
+fn an_eventual_read_prefers_the_lagging_local_replica() {
     let mut sim = Simulation::new(default_settings());
     sim.update_endpoints(UpdateKind::Delta, vec![replica(SECOND_LOCAL_REPLICA, LOCAL_ZONE)]);
     sim.report_fresh(SECOND_LOCAL_REPLICA);
@@ -91,7 +91,7 @@
 
 /// Without a primary all log positions stand still. Trying every replica in turn would only add load.
 #[test]
-fn replicas_known_to_lag_are_not_tried_in_turn() {
+fn replicas_known_to_lag_are_not_all_tried() {
     let mut sim = Simulation::new(default_settings());
     sim.report_fresh(LOCAL_REPLICA);
     sim.report_fresh(REMOTE_REPLICA);
@@ -116,7 +116,7 @@
 
 /// Work that an endpoint rejects for overload ends at once, which makes the endpoint look idle.
 #[test]
-fn an_endpoint_that_rejects_for_overload_counts_as_loaded() {
+fn an_endpoint_that_rejects_requests_as_overloaded_counts_as_loaded() {
     let mut sim = Simulation::new(default_settings());
     sim.update_endpoints(UpdateKind::Delta, vec![replica(SECOND_LOCAL_REPLICA, LOCAL_ZONE)]);
     sim.report_fresh(LOCAL_REPLICA);
@@ -139,7 +139,7 @@
 
 /// Answers eventual reads after 3 s each, wherever they go: longer than the bound of the bounded reads. The
 /// policy expects such a latency of the class from then on.
-fn learn_long_reads(sim: &mut Simulation) {
+fn raise_eventual_read_latency(sim: &mut Simulation) {
     for i in 0..40 {
         sim.advance_time(0.1);
         sim.report_fresh(LOCAL_REPLICA);
@@ -157,16 +157,16 @@
     sim.report_fresh(LAGGING_REPLICA);
     sim.advance_time(1.0);
     sim.report_fresh(FRESH_REPLICA);
-    learn_long_reads(&mut sim);
+    raise_eventual_read_latency(&mut sim);
     sim
 }
 
 /// Long reads hold up the log of their replica. Spread over all replicas, they would leave few of them fresh.
 #[test]
-fn long_eventual_reads_gather_on_the_replica_that_lags_most() {
+fn long_eventual_reads_are_concentrated_on_the_replica_that_lags_most() {
     let mut sim = Simulation::new(default_settings());
     sim.report_fresh(LOCAL_REPLICA);
-    learn_long_reads(&mut sim);
+    raise_eventual_read_latency(&mut sim);
     let endpoints = sim.request("last", EVENTUAL_READ);
     assert_eq!(
         sent_endpoints(&endpoints),
@@ -178,7 +178,7 @@
 /// Overflow must not go to the least loaded replica: that one is idle because it is catching up, and another
 /// long read would hold up its log as well, so that no replica caught up.
 #[test]
-fn long_eventual_reads_overflow_to_the_replica_that_lags_next_most() {
+fn long_eventual_reads_spill_over_to_the_replica_that_lags_next_most() {
     let mut sim = simulation_with_long_reads(default_settings());
     let expected =
         [REMOTE_REPLICA, REMOTE_REPLICA, REMOTE_REPLICA, LAGGING_REPLICA, REMOTE_REPLICA, LAGGING_REPLICA];
@@ -197,5 +197,5 @@
     let third = sim.request("b2", EVENTUAL_READ);
     assert_eq!(sent_endpoints(&third), [PRIMARY], "the primary has no log to apply");
     let fourth = sim.request("b3", EVENTUAL_READ);
-    assert_eq!(final_answers(&fourth), 1, "the fresh replica is left to the reads that need it");
+    assert_eq!(count_final_answers(&fourth), 1, "the fresh replica is left to the reads that need it");
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -5,13 +5,13 @@
 use rstest::rstest;
 
 use crate::harness::{
-    default_settings, final_answers, first_endpoint, primary, rejects_with_retry_after, replica, secs,
-    sent_endpoints, FinishedAttempt, Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE, LOCAL_REPLICA,
-    LOCAL_ZONE, NON_IDEMPOTENT_WRITE, NOWHERE, PRIMARY, REMOTE_REPLICA, REMOTE_ZONE, SESSION_READ,
-    STRONG_READ,
+    count_final_answers, default_settings, first_endpoint, has_rejection_with_retry_after, primary, replica,
+    secs, sent_endpoints, FinishedAttempt, Simulation, BOUNDED_READ, EVENTUAL_READ, KEYED_WRITE,
+    LOCAL_REPLICA, LOCAL_ZONE, NON_IDEMPOTENT_WRITE, NO_ENDPOINTS, PRIMARY, REMOTE_REPLICA, REMOTE_ZONE,
+    SESSION_READ, STRONG_READ,
 };
 
-fn succeed(sim: &mut Simulation, id: &str) {
+fn succeed_on_primary(sim: &mut Simulation, id: &str) {
     sim.finish_attempt_with(FinishedAttempt::new(id, PRIMARY, Outcome::Success).role(Role::Primary));
 }
 
@@ -20,7 +20,7 @@
     let mut sim = Simulation::new(default_settings());
     let actions = sim.handle(Event::request("w", KEYED_WRITE, 0, secs(1e9)));
     assert!(matches!(actions[..], [.., Action::Send { timeout, .. }] if timeout <= secs(2.0)), "{actions:?}");
-    assert_eq!(final_answers(&sim.advance_time(2.0)), 1);
+    assert_eq!(count_final_answers(&sim.advance_time(2.0)), 1);
 }
 
 #[test]
@@ -31,22 +31,22 @@
         sim.request(&format!("q{i}"), class);
     }
     sim.advance_time(1.8);
-    assert_eq!(final_answers(&sim.actions), 6);
+    assert_eq!(count_final_answers(&sim.actions), 6);
     sim.advance_time(5.0);
-    assert_eq!(final_answers(&sim.actions), 6);
+    assert_eq!(count_final_answers(&sim.actions), 6);
 }
 
 /// Guards against keeping a request that no endpoint has received until its client has no time left to retry.
 #[test]
-fn a_request_that_reached_no_endpoint_is_rejected_after_half_its_time() {
+fn a_request_that_reached_no_endpoint_is_rejected_after_half_its_timeout() {
     let mut sim = Simulation::new(default_settings());
     // Connections to the primary fail: a write waits for another primary.
     for id in ["x", "y"] {
         sim.request(id, KEYED_WRITE);
         sim.finish_attempt(id, PRIMARY, 0, Outcome::ConnectFailed);
     }
-    assert_eq!(sent_endpoints(&sim.request("w", KEYED_WRITE)), NOWHERE);
-    assert_eq!(final_answers(&sim.advance_time(0.85)), 0, "half of 1.8 s is not over");
+    assert_eq!(sent_endpoints(&sim.request("w", KEYED_WRITE)), NO_ENDPOINTS);
+    assert_eq!(count_final_answers(&sim.advance_time(0.85)), 0, "half of 1.8 s is not over");
     let actions = sim.advance_time(0.1);
     let is_rejection = |action: &Action| match action {
         Action::Reject { id, retry_after } => &**id == "w" && *retry_after > Some(secs(0.0)),
@@ -57,11 +57,11 @@
 
 /// Guards against the opposite: giving up early on what an endpoint has received.
 #[test]
-fn a_request_that_reached_an_endpoint_keeps_all_its_time() {
+fn a_request_that_reached_an_endpoint_keeps_its_whole_timeout() {
     let mut sim = Simulation::new(default_settings());
     sim.request("w", KEYED_WRITE);
-    assert_eq!(final_answers(&sim.advance_time(1.7)), 0);
-    assert_eq!(final_answers(&sim.advance_time(0.1)), 1);
+    assert_eq!(count_final_answers(&sim.advance_time(1.7)), 0);
+    assert_eq!(count_final_answers(&sim.advance_time(0.1)), 1);
 }
 
 #[test]
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_non_idempotent_write_that_may_have_been_executed_fails_without_a_retry() {
+fn a_possibly_executed_non_idempotent_write_fails_without_a_retry() {
     let mut sim = Simulation::new(default_settings());
     sim.request("u", NON_IDEMPOTENT_WRITE);
     let actions = sim.finish_attempt("u", PRIMARY, 0, Outcome::Error);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_keyed_write_is_retried_only_well_inside_its_deduplication_window() {
+fn a_keyed_write_is_not_retried_near_the_end_of_its_deduplication_window() {
     let mut sim = Simulation::new(default_settings());
     sim.request("w", KEYED_WRITE);
     sim.now += 0.2;
@@ -113,13 +113,13 @@
     sim.now += 1.0;
     let actions = sim.finish_attempt("w", PRIMARY, 0, Outcome::Error);
     let sends = sent_endpoints(&actions).len();
-    assert_eq!((sends, final_answers(&actions)), (0, 1), "time to connect is kept in reserve");
+    assert_eq!((sends, count_final_answers(&actions)), (0, 1), "time to connect is kept in reserve");
     assert!(actions.contains(&Action::Fail { id: "w".into() }));
 }
 
 /// Sends a write that gets no answer, and twenty later ones. Returns the simulation, and whether the attempt
 /// of the first was cancelled.
-fn lose_one_write(later_writes_succeed: bool) -> (Simulation, bool) {
+fn simulate_lost_answer(later_writes_succeed: bool) -> (Simulation, bool) {
     let mut sim = Simulation::new(default_settings());
     sim.request("lost", KEYED_WRITE);
     for i in 0..20 {
@@ -128,7 +128,7 @@
             let id = format!("w{i}");
             sim.request(&id, KEYED_WRITE);
             sim.advance_time(0.01);
-            succeed(&mut sim, &id);
+            succeed_on_primary(&mut sim, &id);
         }
     }
     let cancelled = sim.actions.contains(&Action::CancelAttempt { id: "lost".into(), attempt: 0 });
@@ -138,17 +138,17 @@
 /// A primary served all writes but one in eight, which its poolers waited for until the clients gave up.
 #[test]
 fn a_keyed_write_is_retried_once_the_primary_has_answered_many_later_ones() {
-    let (mut sim, cancelled) = lose_one_write(true);
+    let (mut sim, cancelled) = simulate_lost_answer(true);
     assert!(cancelled);
     let retried = sim.finish_attempt("lost", PRIMARY, 0, Outcome::Cancelled);
     assert_eq!(sent_endpoints(&retried), [PRIMARY], "inside its deduplication window");
-    let (_, cancelled) = lose_one_write(false);
+    let (_, cancelled) = simulate_lost_answer(false);
     assert!(!cancelled, "a primary that answers nothing may be slow: its writes are not repeated");
 }
 
 /// A write to a primary that answers twenty later ones but not this one. After `failover_after` seconds the
 /// remote replica is promoted, and half a second passes.
-fn lose_write_at_failover(settings: Settings, failover_after: f64) -> Simulation {
+fn simulate_lost_answer_and_failover(settings: Settings, failover_after: f64) -> Simulation {
     let mut sim = Simulation::new(settings);
     sim.request("lost", KEYED_WRITE);
     for i in 0..20 {
@@ -156,7 +156,7 @@
         let id = format!("w{i}");
         sim.request(&id, KEYED_WRITE);
         sim.advance_time(failover_after / 20.0 * 0.25);
-        succeed(&mut sim, &id);
+        succeed_on_primary(&mut sim, &id);
     }
     let entries = vec![primary(REMOTE_REPLICA, REMOTE_ZONE), replica(PRIMARY, LOCAL_ZONE)];
     sim.update_endpoints(UpdateKind::Delta, entries);
@@ -190,20 +190,20 @@
 /// Guards against a hedged write that reaches a promoted replica after its deduplication window: it would be
 /// executed a second time.
 #[rstest]
-#[case::long_closed(0.5, 1)]
-#[case::closed_but_for_the_connect_timeout(1.0, 1)]
-#[case::open(2.0, 2)]
+#[case::window_closed(0.5, 1)]
+#[case::connect_timeout_does_not_fit(1.0, 1)]
+#[case::window_open(2.0, 2)]
 fn a_keyed_write_is_hedged_only_inside_its_deduplication_window(
     #[case] window: f64,
     #[case] attempts: usize,
 ) {
-    let sim = lose_write_at_failover(hedging_settings(window), 0.8);
+    let sim = simulate_lost_answer_and_failover(hedging_settings(window), 0.8);
     assert_eq!(attempts_of(&sim, "lost").len(), attempts, "{:?}", attempts_of(&sim, "lost"));
 }
 
 #[test]
 fn a_hedged_write_times_out_before_its_deduplication_window_closes() {
-    let sim = lose_write_at_failover(hedging_settings(1.3), 0.8);
+    let sim = simulate_lost_answer_and_failover(hedging_settings(1.3), 0.8);
     let attempts = attempts_of(&sim, "lost");
     assert_eq!(attempts[1].0, REMOTE_REPLICA, "only the primary takes writes");
     assert!(attempts[1].1 <= 0.5, "{attempts:?}");
@@ -211,7 +211,7 @@
 
 #[test]
 fn hedged_requests_count_towards_the_limit_of_attempts() {
-    let sim = lose_write_at_failover(Settings { max_attempts: 1, ..hedging_settings(2.0) }, 0.8);
+    let sim = simulate_lost_answer_and_failover(Settings { max_attempts: 1, ..hedging_settings(2.0) }, 0.8);
     assert_eq!(attempts_of(&sim, "lost").len(), 1);
 }
 
@@ -219,13 +219,13 @@
 /// the one that was sent first.
 #[test]
 fn the_deduplication_window_begins_with_the_first_attempt_that_was_sent() {
-    let mut sim = lose_write_at_failover(hedging_settings(1.3), 0.8);
+    let mut sim = simulate_lost_answer_and_failover(hedging_settings(1.3), 0.8);
     assert_eq!(attempts_of(&sim, "lost").len(), 2);
     sim.finish_attempt("lost", REMOTE_REPLICA, 1, Outcome::Error);
     sim.advance_time(0.05);
     sim.finish_attempt("lost", PRIMARY, 0, Outcome::ConnectionReset);
     assert_eq!(attempts_of(&sim, "lost").len(), 2, "1.35 s after the first");
-    assert_eq!(final_answers(&sim.actions), 1);
+    assert_eq!(count_final_answers(&sim.actions), 1);
 }
 
 /// Guards against hedging the hedge: with each attempt silent, a read was in flight at all replicas at once.
@@ -259,44 +259,46 @@
 
 /// A program that ends cannot wait for an answer.
 #[test]
-fn an_expired_request_gets_its_final_answer_at_once() {
+fn an_imminent_shutdown_ends_a_request_at_once() {
     let mut sim = Simulation::new(default_settings());
     for (id, class) in [("read", EVENTUAL_READ), ("write", NON_IDEMPOTENT_WRITE)] {
         assert_eq!(sent_endpoints(&sim.request(id, class)).len(), 1);
     }
-    let expire = |sim: &mut Simulation, id: &str| sim.handle(Event::ShutdownImminent { id: id.into() });
-    let read = expire(&mut sim, "read");
+    let announce_shutdown =
+        |sim: &mut Simulation, id: &str| sim.handle(Event::ShutdownImminent { id: id.into() });
+    let read = announce_shutdown(&mut sim, "read");
     assert!(matches!(&read[..], [Action::Reject { .. }]), "a repeat is harmless: {read:?}");
-    let write = expire(&mut sim, "write");
+    let write = announce_shutdown(&mut sim, "write");
     assert_eq!(write, [Action::Fail { id: "write".into() }], "it may have been executed");
-    assert_eq!(expire(&mut sim, "write"), []);
-    assert_eq!(expire(&mut sim, "unknown"), []);
+    assert_eq!(announce_shutdown(&mut sim, "write"), []);
+    assert_eq!(announce_shutdown(&mut sim, "unknown"), []);
 }
 
 /// The program may be held up this long between a decision and the write to the socket (seconds).
-const HOLD_UP: f64 = 0.15;
+const MAX_PROCESS_PAUSE: f64 = 0.15;
 
 /// A retry that is sent late must still arrive inside the deduplication window.
 #[test]
-fn a_retry_leaves_time_for_a_process_that_is_held_up() {
+fn a_retry_leaves_time_for_a_suspended_process() {
     let settings = Settings { connect_timeout: secs(0.05), ..default_settings() };
     let window = settings.classes[KEYED_WRITE].deduplication_window.as_secs();
-    for (waited, retries) in [(window - HOLD_UP - 0.01, 1), (window - HOLD_UP + 0.01, 0)] {
+    for (elapsed, retries) in [(window - MAX_PROCESS_PAUSE - 0.01, 1), (window - MAX_PROCESS_PAUSE + 0.01, 0)]
+    {
         let mut sim = Simulation::new(settings.clone());
         sim.request("w", KEYED_WRITE);
-        sim.now += waited;
+        sim.now += elapsed;
         sim.finish_attempt("w", PRIMARY, 0, Outcome::Error);
         let attempts = attempts_of(&sim, "w");
-        assert_eq!(attempts.len(), 1 + retries, "after {waited} s");
-        let longest = (window - HOLD_UP - waited).max(settings.tick.as_secs()) + 1e-9;
-        assert!(attempts[1..].iter().all(|(_, timeout)| *timeout <= longest), "{attempts:?}");
+        assert_eq!(attempts.len(), 1 + retries, "after {elapsed} s");
+        let longest_timeout = (window - MAX_PROCESS_PAUSE - elapsed).max(settings.tick.as_secs()) + 1e-9;
+        assert!(attempts[1..].iter().all(|(_, timeout)| *timeout <= longest_timeout), "{attempts:?}");
     }
 }
 
 #[test]
-fn a_request_without_time_for_an_answer_is_sent_nowhere() {
+fn a_request_without_time_for_an_answer_is_rejected_unsent() {
     let mut sim = Simulation::new(default_settings());
     let actions = sim.handle(Event::request("late", KEYED_WRITE, 0, secs(0.004)));
-    assert_eq!((sent_endpoints(&actions), final_answers(&actions)), (Vec::new(), 1));
-    assert!(rejects_with_retry_after(&actions));
+    assert_eq!((sent_endpoints(&actions), count_final_answers(&actions)), (Vec::new(), 1));
+    assert!(has_rejection_with_retry_after(&actions));
 }
--- a/tests/policy/sessions.rs
+++ b/tests/policy/sessions.rs
@@ -9,7 +9,7 @@
 };
 
 /// Settings under which the pooler remembers when each session last wrote, and endpoints serve stale reads.
-fn remembered_sessions() -> Settings {
+fn settings_that_record_writes() -> Settings {
     Settings { stale_reads: StaleReadHandling::Serve, session_tokens_carried: false, ..default_settings() }
 }
 
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn a_remembered_write_sends_its_sessions_reads_to_the_primary() {
-    let mut sim = Simulation::new(remembered_sessions());
+fn a_recorded_write_sends_its_sessions_reads_to_the_primary() {
+    let mut sim = Simulation::new(settings_that_record_writes());
     sim.report_fresh(LOCAL_REPLICA);
     assert_eq!(sent_endpoints(&request(&mut sim, "before", SESSION_READ)), [LOCAL_REPLICA]);
     request(&mut sim, "w", KEYED_WRITE);
@@ -45,15 +45,15 @@
 }
 
 #[test]
-fn a_write_without_a_credible_commit_position_counts_as_committed_when_it_was_answered() {
-    let mut sim = Simulation::new(remembered_sessions());
+fn a_write_without_a_plausible_commit_position_counts_as_committed_when_answered() {
+    let mut sim = Simulation::new(settings_that_record_writes());
     sim.report_fresh(LOCAL_REPLICA);
     // No position, one in the future and one that is not a number.
     for (id, commit) in [("1", None), ("2", Some(sim.now + 1e6)), ("3", Some(f64::NAN))] {
         sim.now += 0.1;
         request(&mut sim, id, KEYED_WRITE);
-        let written = FinishedAttempt::new(id, PRIMARY, Outcome::Success).role(Role::Primary);
-        sim.finish_attempt_with(written.log_position(commit));
+        let write = FinishedAttempt::new(id, PRIMARY, Outcome::Success).role(Role::Primary);
+        sim.finish_attempt_with(write.log_position(commit));
 
         let read = format!("{id} read");
         assert_eq!(sent_endpoints(&request(&mut sim, &read, SESSION_READ)), [PRIMARY]);
@@ -70,8 +70,8 @@
 
 /// A pooler that remembers writes knows of none after a restart: any session may have written before it.
 #[test]
-fn after_a_restart_an_unknown_session_reads_data_at_least_as_new_as_the_start() {
-    let mut sim = Simulation::new(remembered_sessions());
+fn after_a_restart_an_unknown_session_reads_data_no_older_than_the_start() {
+    let mut sim = Simulation::new(settings_that_record_writes());
     sim.report_position(LOCAL_REPLICA, sim.now - 0.3);
     assert_eq!(sent_endpoints(&request(&mut sim, "early", SESSION_READ)), [PRIMARY]);
     sim.report_fresh(LOCAL_REPLICA);
@@ -81,8 +81,8 @@
 /// A write that is in flight, or whose answer was lost, may have been executed. A replica without it must not
 /// answer the reads of its session that follow.
 #[test]
-fn a_write_that_may_have_been_executed_sends_its_sessions_reads_to_the_primary() {
-    let mut sim = Simulation::new(remembered_sessions());
+fn a_possibly_executed_write_sends_its_sessions_reads_to_the_primary() {
+    let mut sim = Simulation::new(settings_that_record_writes());
     sim.report_fresh(LOCAL_REPLICA);
     assert_eq!(sent_endpoints(&request(&mut sim, "before", SESSION_READ)), [LOCAL_REPLICA]);
     assert_eq!(sent_endpoints(&request(&mut sim, "w", NON_IDEMPOTENT_WRITE)), [PRIMARY]);
@@ -93,9 +93,9 @@
     assert_eq!(sent_endpoints(&in_flight), [PRIMARY]);
     sim.finish_attempt("w", PRIMARY, 0, Outcome::ConnectionReset);
     sim.now += 0.1;
-    let before_loss = request(&mut sim, "the replica is older than the loss", SESSION_READ);
-    assert_eq!(sent_endpoints(&before_loss), [PRIMARY]);
+    let before_report = request(&mut sim, "the replica is older than the loss", SESSION_READ);
+    assert_eq!(sent_endpoints(&before_report), [PRIMARY]);
     sim.report_fresh(LOCAL_REPLICA);
-    let after_loss = request(&mut sim, "the replica is newer", SESSION_READ);
-    assert_eq!(sent_endpoints(&after_loss), [LOCAL_REPLICA]);
+    let after_report = request(&mut sim, "the replica is newer", SESSION_READ);
+    assert_eq!(sent_endpoints(&after_report), [LOCAL_REPLICA]);
 }
--- a/tests/policy/settings.rs
+++ b/tests/policy/settings.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_rejected_by_name() {
+fn a_setting_out_of_range_is_rejected_with_its_name() {
     assert_eq!(rejected_field(|_| ()), None);
     type Change = fn(&mut Settings);
     let cases: [(Change, &str); 9] = [
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -102,18 +102,19 @@
 
 /// Within each overload window, the endpoint must get no more work than its capacity times the overload
 /// limit, and what chance adds to that.
-fn assert_never_overloaded(reads: &[WarmingRead], mean_work: f64, started_at: f64, settings: &Settings) {
+fn assert_work_within_limit(reads: &[WarmingRead], mean_work: f64, started_at: f64, settings: &Settings) {
     // Six endpoints bear the load, which is four fifths of their capacity.
-    let capacity = FLEET_RATE / 6.0 / 0.8;
+    let full_capacity = FLEET_RATE / 6.0 / 0.8;
     for (first, WarmingRead { sent_at, .. }) in reads.iter().enumerate() {
         let window = reads[first..]
             .iter()
             .take_while(|read| read.sent_at <= sent_at + settings.overload_window.as_secs());
         let work = window.map(|read| read.work).sum::<f64>() / mean_work;
-        let warmth = settings.initial_capacity
+        let capacity_share = settings.initial_capacity
             + (1.0 - settings.initial_capacity) * (sent_at - started_at)
                 / settings.slow_start_window.as_secs();
-        let limit = overload_limit(settings) * warmth * capacity * settings.overload_window.as_secs();
+        let limit =
+            overload_limit(settings) * capacity_share * full_capacity * settings.overload_window.as_secs();
         assert!(work <= limit + 2.0 * limit.sqrt() + 2.0, "{work} over a limit of {limit}, at {sent_at}");
     }
 }
@@ -140,7 +141,7 @@
         }
     }
     assert!(reads.len() > 10, "it gets some: {}", reads.len());
-    assert_never_overloaded(&reads, total_work / (FLEET_SECONDS * FLEET_RATE), fleet.started_at, &settings);
+    assert_work_within_limit(&reads, total_work / (FLEET_SECONDS * FLEET_RATE), fleet.started_at, &settings);
 }
 
 fn overload_limit(settings: &Settings) -> f64 {
@@ -154,17 +155,17 @@
 
 /// Requests that reach an endpoint in slow start must stay within its limit and what chance adds to that,
 /// which is more where the limit is below thirty requests.
-fn assert_within_limit(sent_at: &[f64], started_at: f64, settings: &Settings) {
+fn assert_requests_within_limit(sent_at: &[f64], started_at: f64, settings: &Settings) {
     let full_capacity = FLEET_RATE / 6.0 / 0.8;
     for (first, start) in sent_at.iter().enumerate() {
         let window =
             sent_at[first..].iter().take_while(|sent| **sent <= start + settings.overload_window.as_secs());
         let capacity = settings.capacity_at_uptime(secs(start - started_at)) * full_capacity;
         let limit = overload_limit(settings) * capacity * settings.overload_window.as_secs();
-        let chance = if limit < 30.0 { 3.0 } else { 2.0 };
+        let deviations = if limit < 30.0 { 3.0 } else { 2.0 };
         let count = window.count() as f64;
         assert!(
-            count <= limit + chance * limit.sqrt() + chance,
+            count <= limit + deviations * limit.sqrt() + deviations,
             "{count} over a limit of {limit}, at {start}"
         );
     }
@@ -180,12 +181,12 @@
 ) {
     let settings = Settings { pooler_count, overload_limit: Some(overload_limit), ..default_settings() };
     let mut fleet = Fleet::new(&settings, seed);
-    let before = (SECONDS_BEFORE_BURST * FLEET_RATE) as usize;
-    let first_time = fleet.started_at;
-    for i in 0..before {
-        fleet.serve(&format!("usual{i}"), BOUNDED_READ, first_time + i as f64 / FLEET_RATE, 1.0);
+    let requests_before_burst = (SECONDS_BEFORE_BURST * FLEET_RATE) as usize;
+    let started_at = fleet.started_at;
+    for i in 0..requests_before_burst {
+        fleet.serve(&format!("usual{i}"), BOUNDED_READ, started_at + i as f64 / FLEET_RATE, 1.0);
     }
-    let restarted_at = first_time + SECONDS_BEFORE_BURST;
+    let restarted_at = started_at + SECONDS_BEFORE_BURST;
     for sim in &mut fleet.poolers {
         sim.now = restarted_at;
         sim.update_endpoints(UpdateKind::Delta, vec![warming_replica(restarted_at)]);
@@ -198,13 +199,13 @@
         }
     }
     assert!(sent_at.len() > 10, "it gets some: {}", sent_at.len());
-    assert_within_limit(&sent_at, restarted_at, &settings);
+    assert_requests_within_limit(&sent_at, restarted_at, &settings);
 }
 
 /// Writes and the reads that overflow to a primary were once limited each by itself, and in their sum
 /// exceeded what it bears.
 #[rstest]
-fn writes_and_overflowing_reads_together_do_not_overload_a_warming_primary(
+fn writes_and_reads_together_do_not_overload_a_warming_primary(
     #[values(1.5, 3.0, 4.0)] overload_limit: f64,
     #[values(1, 2, 3, 4)] seed: u64,
 ) {
@@ -245,7 +246,7 @@
         }
     }
     assert!(sent_at.len() > 10, "it gets some: {}", sent_at.len());
-    assert_within_limit(&sent_at, started_at, &settings);
+    assert_requests_within_limit(&sent_at, started_at, &settings);
 }
 
 #[test]
