--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -8,14 +8,14 @@
     FinishedAttempt, Simulation, BOUNDED_READ, KEYED_WRITE, LOCAL_ZONE, PRIMARY, STRONG_READ,
 };
 
-/// A group that consists of its primary alone.
+/// Creates a simulation whose only endpoint is a primary.
 fn simulation_with_only_a_primary(settings: Settings) -> Simulation {
     let mut sim = Simulation::new(settings);
     sim.update_endpoints(UpdateKind::Snapshot, vec![primary(PRIMARY, LOCAL_ZONE)]);
     sim
 }
 
-/// The primary serves a request of its own after that time.
+/// The primary serves a request that was sent to it, after the given time.
 fn finish_on_primary_after(sim: &mut Simulation, id: &str, elapsed: f64) {
     let served = FinishedAttempt::new(id, PRIMARY, Outcome::Success).elapsed(elapsed);
     sim.finish_attempt_with(served.role(Role::Primary));
@@ -29,7 +29,8 @@
     assert!(has_rejection_with_retry_after(&actions));
 }
 
-/// Guards against ten attempts of one write within milliseconds at a primary that rejects for overload.
+/// Guards against immediate retries at a primary that rejects requests as overloaded: one write got ten
+/// attempts within milliseconds.
 #[test]
 fn a_write_that_an_overloaded_primary_rejected_is_not_retried_at_once() {
     let mut sim = Simulation::new(default_settings());
@@ -39,13 +40,13 @@
     assert!(has_rejection_with_retry_after(&actions));
 }
 
-/// Each pooler admits a little whatever the latency, to notice a recovery. In a large fleet these requests
-/// together must not overload an endpoint.
+/// Each pooler admits some requests whatever their predicted latency, so that it notices a recovery. In a large
+/// fleet, these requests together must not overload an endpoint.
 #[test]
 fn unconditional_admissions_decrease_with_the_number_of_poolers() {
     let admitted = |pooler_count: u32| {
         let mut sim = simulation_with_only_a_primary(Settings { pooler_count, ..default_settings() });
-        // Answers near the deadline: nothing can be expected in time.
+        // The latencies are close to the deadline, so that no request is predicted to be answered in time.
         for i in 0..60 {
             sim.advance_time(2.5);
             let id = format!("slow{i}");
@@ -63,7 +64,7 @@
     assert!(small >= 3 && large <= 2, "{small} with two poolers, {large} with sixteen");
 }
 
-/// Of two classes of the same weight, the one that occupies endpoints for longer is shed first.
+/// Of two classes with the same priority weight, the one that occupies endpoints longer is shed first.
 #[test]
 fn under_overload_the_class_with_the_higher_latency_is_shed_first() {
     let mut sim = simulation_with_only_a_primary(Settings { pooler_count: 16, ..default_settings() });
@@ -79,7 +80,7 @@
     assert_eq!(sent_endpoints(&sim.request("fast", fast)), [PRIMARY]);
 }
 
-/// With a hundred poolers, a tenant's quota at each of them is below one request per second.
+/// With a hundred poolers, the share of each in the quota of a tenant is less than one request per second.
 #[test]
 fn a_tenant_within_a_fractional_quota_per_pooler_is_not_over_quota() {
     let settings = Settings {
@@ -98,5 +99,5 @@
     sim.request("one", KEYED_WRITE);
     sim.finish_attempt("one", PRIMARY, 0, Outcome::Overloaded);
     let over_quota = sim.request("two", KEYED_WRITE);
-    assert_eq!(sent_endpoints(&over_quota).len(), 0, "requests over the quota are shed");
+    assert_eq!(sent_endpoints(&over_quota).len(), 0, "a request over the quota is shed");
 }
--- a/tests/policy/endpoint_list.rs
+++ b/tests/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Snapshots and deltas of the endpoint list, draining and removed endpoints, and a lost watch.
+//! The endpoint list: snapshots and deltas, draining and removed endpoints, and a lost watch.
 
 use pg_pooler::interface::{Action, Endpoint, EndpointStatus, Event, UpdateKind};
 use pg_pooler::settings::Settings;
@@ -53,8 +53,8 @@
     assert!(sim.advance_time(5.0).contains(&Action::Watch));
 }
 
-/// A drain is binding 6 s after discovery has announced it, whether or not the pooler could be reached. A
-/// backoff that grows with `max_watch_gap` would miss it.
+/// A drain is binding 6 s after discovery has announced it, whether or not the pooler was reachable. With a
+/// backoff that grows with `max_watch_gap`, the pooler would learn of the drain too late.
 #[test]
 fn a_watch_that_fails_repeatedly_is_restarted_every_second() {
     for max_watch_gap in [2.0, 10.0, 60.0] {
@@ -69,13 +69,15 @@
             sim.handle(Event::WatchFailed);
             assert_eq!(count_watches(&sim.advance_time(1.2)), 1, "{max_watch_gap}");
         }
-        // An unanswered call is given time: an update without entries may take 2 s.
+        // A start of the watch without a response is not repeated at once: even an update without entries may
+        // take 2 s.
         assert_eq!(count_watches(&sim.advance_time(2.0)), 0, "{max_watch_gap}");
-        assert_eq!(count_watches(&sim.advance_time(2.2)), 1, "a call without any answer is repeated");
+        assert_eq!(count_watches(&sim.advance_time(2.2)), 1, "a start without a response is repeated");
     }
 }
 
-/// Guards against memory that grows with every endpoint ever listed, as when hosts are replaced in waves.
+/// Guards against memory use that grows with every endpoint ever listed, such as when hosts are replaced in
+/// waves.
 #[test]
 fn removed_endpoints_are_purged_and_the_others_stay_usable() {
     let mut sim = Simulation::new(default_settings());
@@ -94,7 +96,7 @@
     assert!(sim.policy.endpoint_count() <= 80);
 }
 
-/// Guards against memory that grows with every group ever listed.
+/// Guards against memory use that grows with every group ever listed.
 #[test]
 fn groups_whose_endpoints_were_removed_are_purged() {
     let mut sim = Simulation::new(default_settings());
--- a/tests/policy/event_handling.rs
+++ b/tests/policy/event_handling.rs
@@ -1,4 +1,4 @@
-//! Properties of event handling as a whole: determinism, and tolerance of unusual events.
+//! General properties of event handling: determinism, and tolerance of unusual events.
 
 use pg_pooler::interface::{Event, Outcome, UpdateKind};
 
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -1,4 +1,4 @@
-//! Drives one [`Policy`] through events on a simulated clock and records its actions.
+//! Drives one [`Policy`] with events on a simulated clock and records its actions.
 
 use pg_pooler::interface::{
     Action, AttemptResult, Endpoint, Event, LoadReport, Outcome, Request, Role, UpdateKind,
@@ -19,30 +19,29 @@
 /// A zone other than the pooler's own.
 pub const REMOTE_ZONE: u32 = 1;
 
-/// A write that carries an idempotency key; a late answer still earns part of its weight.
+/// A write with an idempotency key, whose late answers keep part of their weight.
 pub const KEYED_WRITE: usize = 0;
 /// A read of data that is at most 0.5 s old.
 pub const BOUNDED_READ: usize = 1;
-/// A read that must see its session's own writes.
+/// A read that must see the writes of its own session.
 pub const SESSION_READ: usize = 2;
 /// A read that any endpoint may answer.
 pub const EVENTUAL_READ: usize = 3;
-/// A read that must see every earlier commit.
+/// A read that must see every commit from before it was received.
 pub const STRONG_READ: usize = 4;
 /// A write that must not be executed twice.
 pub const NON_IDEMPOTENT_WRITE: usize = 5;
 
-/// The endpoints of actions that send nothing.
+/// Expected endpoints of actions that send no request.
 pub const NO_ENDPOINTS: [&str; 0] = [];
 
-/// Seconds that the client of [`Simulation::request`] waits.
+/// Timeout of the requests of [`Simulation::request`], in seconds.
 const CLIENT_TIMEOUT: f64 = 1.8;
-/// Seconds on the simulated clock when a simulation begins.
+/// Time on the simulated clock when a simulation begins, in seconds.
 const START_TIME: f64 = 100.0;
-/// Seed of simulations that do not name one.
+/// Seed of the simulations that are created without one.
 const DEFAULT_SEED: u64 = 1;
 
-/// So many seconds.
 pub const fn secs(seconds: f64) -> Span {
     Span::from_secs(seconds)
 }
@@ -59,7 +58,7 @@
     }
 }
 
-/// Settings with one class for each of the class constants of this module.
+/// Settings with the classes that the class constants of this module index.
 pub fn default_settings() -> Settings {
     let keyed_write =
         RequestClass { late_weight: 0.3, ..request_class(Consistency::Write, Idempotency::IdempotencyKey) };
@@ -76,24 +75,24 @@
     }
 }
 
-/// A list entry that names its endpoint as the primary.
+/// An entry of the endpoint list whose role is primary.
 pub fn primary(id: &str, zone: u32) -> Endpoint {
     Endpoint { role: Role::Primary, ..replica(id, zone) }
 }
 
-/// A list entry of a replica.
+/// An entry of the endpoint list whose role is replica.
 pub fn replica(id: &str, zone: u32) -> Endpoint {
     Endpoint { id: id.into(), zone, role: Role::Replica, ..Endpoint::default() }
 }
 
-/// A request of the session "s", whose client waits for one second.
+/// A request of the session "s" with a timeout of one second.
 pub fn session_request(id: &str, class: usize) -> Request {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
     Request { session: Some("s".into()), ..request }
 }
 
-/// Builds the result of an attempt: by default the first one of its request, after 50 ms, with neither a role
-/// nor a log position. A successful attempt is the final answer of its request.
+/// Builder for the result of an attempt. By default it is the first attempt of its request and ends after
+/// 50 ms, with neither a role nor a log position. A successful attempt finishes its request.
 pub struct FinishedAttempt(AttemptResult);
 
 impl FinishedAttempt {
@@ -111,13 +110,13 @@
         })
     }
 
-    /// Sets the number of the attempt among those of its request, from 0.
+    /// Sets the number of the attempt, counted from 0 within its request.
     pub fn number(mut self, attempt: usize) -> FinishedAttempt {
         self.0.attempt = attempt;
         self
     }
 
-    /// Sets the role that the endpoint gave in its answer.
+    /// Sets the role that the endpoint reported in its answer.
     pub fn role(mut self, role: Role) -> FinishedAttempt {
         self.0.role = Some(role);
         self
@@ -129,32 +128,33 @@
         self
     }
 
-    /// Sets the time that the attempt took.
+    /// Sets the duration of the attempt, in seconds.
     pub fn elapsed(mut self, elapsed: f64) -> FinishedAttempt {
         self.0.elapsed = secs(elapsed);
         self
     }
 
-    /// Makes the result the final answer of its request, whatever the outcome.
+    /// Marks the request as finished, whatever the outcome.
     pub fn request_finished(mut self) -> FinishedAttempt {
         self.0.request_finished = true;
         self
     }
 }
 
-/// One policy on a simulated clock, with everything that it did.
+/// A policy on a simulated clock, with all its actions.
 pub struct Simulation {
     pub policy: Policy,
     /// The simulated clock, in seconds.
     pub now: f64,
     /// All actions so far.
     pub actions: Vec<Action>,
-    /// When each pending timer expires, and its cookie.
+    /// Expiry time and cookie of each pending timer.
     timers: Vec<(f64, u64)>,
 }
 
 impl Simulation {
-    /// A group of a primary and a replica in the pooler's zone and a replica in another zone.
+    /// Creates a policy with one group: a primary and a replica in the pooler's zone, and a replica in
+    /// another zone.
     pub fn new(settings: Settings) -> Simulation {
         let endpoints = vec![
             primary(PRIMARY, LOCAL_ZONE),
@@ -164,8 +164,7 @@
         Simulation::with_endpoints(settings, DEFAULT_SEED, |_| endpoints)
     }
 
-    /// A policy with the given seed that starts from a cached list, which may depend on the time of the
-    /// start.
+    /// Creates a policy that starts with a cached endpoint list, which may depend on the start time.
     pub fn with_endpoints(
         settings: Settings,
         seed: u64,
@@ -181,7 +180,7 @@
         simulation
     }
 
-    /// Passes one event to the policy at the present time and returns its actions.
+    /// Passes an event to the policy at the present time and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(LocalInstant::from_secs(self.now), event, &mut actions);
@@ -194,12 +193,12 @@
         actions
     }
 
-    /// Delivers an update of the endpoint list.
+    /// Passes an update of the endpoint list to the policy.
     pub fn update_endpoints(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) -> Vec<Action> {
         self.handle(Event::EndpointsUpdated { kind, endpoints })
     }
 
-    /// Advances the clock, delivers the timers that expire meanwhile and returns the actions that follow.
+    /// Advances the clock, delivers the timers that expire meanwhile and returns the resulting actions.
     pub fn advance_time(&mut self, seconds: f64) -> Vec<Action> {
         let end = self.now + seconds;
         let first_action = self.actions.len();
@@ -211,19 +210,19 @@
         self.actions[first_action..].to_vec()
     }
 
-    /// Removes the earliest timer if it expires by then.
+    /// Removes and returns the earliest timer if it expires no later than `end`.
     pub fn take_timer_due_by(&mut self, end: f64) -> Option<(f64, u64)> {
         let expiries = self.timers.iter().map(|(at, _)| at).enumerate();
         let (earliest, at) = expiries.min_by(|a, b| a.1.total_cmp(b.1))?;
         (*at <= end).then(|| self.timers.swap_remove(earliest))
     }
 
-    /// Receives a request from a client.
+    /// Receives a request of group 0 from a client.
     pub fn request(&mut self, id: &str, class: usize) -> Vec<Action> {
         self.handle(Event::request(id, class, 0, secs(CLIENT_TIMEOUT)))
     }
 
-    /// Receives a request and returns the one endpoint that it was sent to.
+    /// Receives a request that must be sent to exactly one endpoint, and returns that endpoint.
     pub fn route(&mut self, id: &str, class: usize) -> String {
         let actions = self.request(id, class);
         let endpoints = sent_endpoints(&actions);
@@ -240,7 +239,7 @@
         sent_endpoints(&self.actions[first_action..]).into_iter().map(String::from).collect()
     }
 
-    /// Ends an attempt after 50 ms; the answer tells neither a role nor a log position.
+    /// Ends an attempt after 50 ms, with neither a role nor a log position in the answer.
     pub fn finish_attempt(
         &mut self,
         id: &str,
@@ -256,13 +255,13 @@
         self.handle(Event::AttemptFinished(attempt.0))
     }
 
-    /// Ends a health check whose report is empty.
+    /// Ends a health check with an empty report.
     pub fn finish_health_check(&mut self, endpoint: &str, outcome: Outcome) -> Vec<Action> {
         let report = LoadReport::default();
         self.handle(Event::HealthCheckFinished { endpoint: endpoint.into(), outcome, report })
     }
 
-    /// A replica reports the log position that it has applied.
+    /// Reports the log position that a replica has applied, with a successful health check.
     pub fn report_position(&mut self, endpoint: &str, log_position: f64) {
         let report = LoadReport {
             log_position: Some(LogPosition::from_secs(log_position)),
@@ -275,18 +274,18 @@
         });
     }
 
-    /// A replica reports that it has applied everything up to now.
+    /// Reports that a replica has applied every commit up to now.
     pub fn report_fresh(&mut self, endpoint: &str) {
         self.report_position(endpoint, self.now);
     }
 
-    /// The client of a request disconnects.
+    /// Disconnects the client of a request.
     pub fn disconnect_client(&mut self, id: &str) -> Vec<Action> {
         self.handle(Event::ClientDisconnected { id: id.into() })
     }
 }
 
-/// The endpoints that requests were sent to, in order.
+/// Returns the endpoints that requests were sent to, in order.
 pub fn sent_endpoints(actions: &[Action]) -> Vec<&str> {
     let endpoints = actions.iter().filter_map(|action| match action {
         Action::Send { endpoint, .. } => Some(endpoint.as_ref()),
@@ -295,23 +294,23 @@
     endpoints.collect()
 }
 
-/// The endpoint that a request was sent to first, if any.
+/// Returns the first endpoint that a request was sent to, if any.
 pub fn first_endpoint(actions: &[Action]) -> Option<String> {
     sent_endpoints(actions).first().map(ToString::to_string)
 }
 
-/// How many requests got a final answer from the policy itself: a rejection or a failure.
+/// Counts the requests that got a final answer from the policy itself: a rejection or a failure.
 pub fn count_final_answers(actions: &[Action]) -> usize {
     let is_final = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(is_final).count()
 }
 
-/// How many health checks were started.
+/// Counts the health checks that were sent.
 pub fn count_health_checks(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
 }
 
-/// Whether some request was rejected with advice on when to retry.
+/// Whether a request was rejected with a Retry-After above zero.
 pub fn has_rejection_with_retry_after(actions: &[Action]) -> bool {
     actions
         .iter()
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,7 +1,7 @@
-//! Tests of the routing policy, driven through its public interface: events go in, actions come out.
+//! Tests of the routing policy through its public interface: events go in and actions come out.
 //!
-//! Each module covers one concern of the policy; `harness` holds what they share.
-#![allow(clippy::unwrap_used, reason = "a panic is how a test fails, also in its helper functions")]
+//! Each module covers one area of the policy. `harness` holds the shared helpers.
+#![allow(clippy::unwrap_used, reason = "a panic fails the test, also in helper functions")]
 
 mod admission;
 mod endpoint_list;
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Failure scores, the ejection of outliers, trial requests and reinstatement.
+//! Outlier detection: failure scores, ejection, trial requests and reinstatement.
 
 use pg_pooler::interface::{Action, Event, Outcome, Role};
 use pg_pooler::settings::Settings;
@@ -22,8 +22,8 @@
     assert_eq!(trials, 1, "{endpoints:?}");
 }
 
-/// Guards against ejecting the primary for rejecting malformed requests, such as a write whose statement
-/// reads.
+/// Guards against ejecting the primary because it rejects invalid requests, such as a request of a write
+/// class whose statement is a read.
 #[test]
 fn invalid_requests_eject_no_endpoint() {
     let mut sim = Simulation::new(default_settings());
@@ -49,11 +49,14 @@
     sim.request("last", EVENTUAL_READ);
     sim.advance_time(0.35);
     let sends = sent_endpoints(&sim.actions[first_action..]).len();
-    assert!((1..=3).contains(&sends), "each endpoint is soon tried again, one request at a time: {sends}");
+    assert!(
+        (1..=3).contains(&sends),
+        "each endpoint is soon tried again, with one request at a time: {sends} requests"
+    );
 }
 
-/// A connection that breaks says nothing of a restart. Were each broken one the start of a slow start, a
-/// fault of the network would leave the whole group without capacity.
+/// A connection reset is no evidence of a restart. If each one began a slow start, a network fault would
+/// leave the whole group without capacity.
 #[test]
 fn connection_resets_do_not_put_an_endpoint_into_slow_start() {
     let mut sim = Simulation::new(default_settings());
@@ -72,7 +75,8 @@
     }
 }
 
-/// Guards against endpoints that hang: with many poolers, each has only a few requests in flight there.
+/// Guards against slow ejection of an endpoint that hangs: with many poolers, each one has only a few
+/// requests in flight there.
 #[test]
 fn a_single_overdue_request_ejects_a_replica_that_answers_nothing_else() {
     let mut sim = Simulation::new(default_settings());
@@ -89,7 +93,7 @@
     assert_ne!(sent_endpoints(&sim.request("next", EVENTUAL_READ)), [LOCAL_REPLICA]);
 }
 
-/// A primary that has answered forty writes.
+/// Creates a simulation whose primary has answered forty writes.
 fn simulation_with_responding_primary() -> Simulation {
     let mut sim = Simulation::new(default_settings());
     for i in 0..40 {
@@ -102,8 +106,8 @@
     sim
 }
 
-/// No other endpoint can take the writes of a primary. One connection that is silent, or could not be
-/// established, does not eject it; the second one does.
+/// No other endpoint can take the writes of a primary. A single connection that is silent or could not be
+/// established does not eject it; a second one does.
 #[test]
 fn a_primary_is_ejected_only_at_the_second_silent_or_failed_connection() {
     let mut sim = simulation_with_responding_primary();
@@ -121,8 +125,8 @@
     }
 }
 
-/// Single connections break as well, through faults of the network. An endpoint that goes on answering keeps
-/// its requests; one that stops answering does not.
+/// Single connections also fail because of network faults. An endpoint that still answers continues to get
+/// requests; one that stops answering does not.
 #[test]
 fn connection_failures_eject_only_an_endpoint_that_stops_answering() {
     for (fault, tolerated) in [(Outcome::ConnectionReset, 3), (Outcome::ConnectFailed, 1)] {
@@ -139,8 +143,8 @@
     }
 }
 
-/// Of many poolers, each with a few idle connections, an endpoint's connection table can fill up, so that it
-/// refuses all new ones. Poolers of a large fleet therefore close theirs when one is refused.
+/// The idle connections of many poolers, a few from each, can exhaust the connection limit of an endpoint, so
+/// that it refuses all new ones. Poolers of a large fleet therefore close theirs after a refused connection.
 #[test]
 fn poolers_of_a_large_fleet_close_idle_connections_after_a_refusal() {
     let closes_idle_connections = |pooler_count: u32| {
@@ -155,10 +159,11 @@
             .contains(&Action::CloseIdleConnections { endpoint: REMOTE_REPLICA.into() })
     };
     assert!(closes_idle_connections(1000));
-    assert!(!closes_idle_connections(20), "a small fleet keeps them: a new connection can be slow");
+    assert!(!closes_idle_connections(20), "a small fleet keeps them, because a new connection can be slow");
 }
 
-/// A host may drop a request with very little time left without a word. Two such requests once ejected it.
+/// Guards against ejecting a host that drops requests with very little time left without a response: two such
+/// requests ejected it.
 #[test]
 fn timeouts_shorter_than_the_usual_latency_eject_no_endpoint() {
     let mut sim = Simulation::new(default_settings());
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -1,4 +1,4 @@
-//! Which endpoint counts as the primary, the search for a lost primary, and the writes queued meanwhile.
+//! Selection of the primary, the search for a lost primary, and the writes that are queued meanwhile.
 
 use pg_pooler::interface::{Action, Outcome, Role, StateChange, UpdateKind};
 use pg_pooler::settings::Settings;
@@ -9,7 +9,7 @@
     STRONG_READ,
 };
 
-/// An answer in which an endpoint gives its role and its log position.
+/// An answer in which an endpoint reports its role and its log position.
 fn claim(id: &str, endpoint: &str, role: Role, log_position: f64) -> FinishedAttempt {
     FinishedAttempt::new(id, endpoint, Outcome::Success).role(role).log_position(log_position)
 }
@@ -26,11 +26,15 @@
     demote_primary(&mut sim, "w");
     assert!(!sent_endpoints(&sim.request("f", STRONG_READ)).contains(&PRIMARY));
     let promoted = sim.finish_attempt_with(claim("none", LOCAL_REPLICA, Role::Primary, sim.now));
-    assert_eq!(sent_endpoints(&promoted), [LOCAL_REPLICA, LOCAL_REPLICA], "queued requests follow the claim");
+    assert_eq!(
+        sent_endpoints(&promoted),
+        [LOCAL_REPLICA, LOCAL_REPLICA],
+        "queued requests go to the new primary"
+    );
 }
 
-/// Answers may arrive out of order. One written while its endpoint was still the primary must not outweigh an
-/// answer written later that arrived first: a strong read would go to a replica.
+/// Answers may arrive out of order. An answer from the time when its endpoint was still the primary must not
+/// override a later answer that arrived first: a strong read would go to a replica.
 #[test]
 fn a_delayed_claim_is_dated_by_its_log_position() {
     let mut sim = Simulation::new(default_settings());
@@ -44,7 +48,7 @@
     sim.finish_attempt_with(claim("delayed", LOCAL_REPLICA, Role::Primary, start + 0.05));
     sim.now += 0.01;
     assert_eq!(sent_endpoints(&sim.request("strong", STRONG_READ)), NO_ENDPOINTS, "no primary is known");
-    // A claim at the present position counts: the queued read goes there.
+    // A claim with the present log position is trusted: the queued read goes to that endpoint.
     let endpoint = sim.route("again", EVENTUAL_READ);
     let promoted = sim.finish_attempt_with(claim("again", &endpoint, Role::Primary, sim.now));
     assert_eq!(sent_endpoints(&promoted), [endpoint.as_str()]);
@@ -84,7 +88,8 @@
     assert_eq!(sent_endpoints(&actions).len(), 1);
 }
 
-/// A former primary that came back as a replica got each queued write up to eight times.
+/// Guards against sending a discovery write to the same endpoint repeatedly: a former primary that had come
+/// back as a replica got each queued write up to eight times.
 #[test]
 fn a_discovery_write_is_sent_to_each_endpoint_at_most_once() {
     let mut sim = Simulation::new(default_settings());
@@ -101,7 +106,7 @@
         }
     }
     tried.sort();
-    assert_eq!(tried, [LOCAL_REPLICA, REMOTE_REPLICA], "each once, and not the one that was demoted");
+    assert_eq!(tried, [LOCAL_REPLICA, REMOTE_REPLICA], "each replica once, and not the demoted primary");
 }
 
 #[test]
@@ -117,8 +122,8 @@
     assert!(checks >= 3, "{checks}");
 }
 
-/// Guards against two faults: poolers that all check every endpoint without a limit, and endpoints that are
-/// ejected because they reject health checks under that load.
+/// Guards against two faults: poolers that all send health checks to every endpoint without a limit, and
+/// endpoints that are ejected because they reject health checks under that load.
 #[test]
 fn health_checks_are_limited_by_a_budget_that_requests_refill() {
     let mut sim = Simulation::new(Settings { health_checks: true, ..default_settings() });
--- a/tests/policy/read_routing.rs
+++ b/tests/policy/read_routing.rs
@@ -1,4 +1,4 @@
-//! Where reads go: zones, how fresh the data must be, and long reads that hold up a replica's log.
+//! Routing of reads: zones, freshness, and long reads, which delay the replication of a replica.
 
 use pg_pooler::interface::{Outcome, Role, UpdateKind};
 use pg_pooler::settings::{Settings, StaleReadHandling};
@@ -11,12 +11,12 @@
 
 /// A second replica in the pooler's zone.
 const SECOND_LOCAL_REPLICA: &str = "second-local-replica";
-/// A remote replica that lags by a second in the tests of long reads.
+/// A remote replica that lags by one second, in the tests of long reads.
 const LAGGING_REPLICA: &str = "lagging-replica";
-/// A remote replica that is up to date in the tests of long reads.
+/// A remote replica that is up to date, in the tests of long reads.
 const FRESH_REPLICA: &str = "fresh-replica";
 
-/// Settings under which endpoints serve reads however old their data is.
+/// Settings with which endpoints serve reads however old their data is.
 fn settings_that_serve_stale_reads() -> Settings {
     Settings { stale_reads: StaleReadHandling::Serve, ..default_settings() }
 }
@@ -29,7 +29,7 @@
     assert_eq!(sent_endpoints(&sim.request("w", KEYED_WRITE)), [PRIMARY]);
     assert_eq!(sent_endpoints(&sim.request("f", STRONG_READ)), [PRIMARY]);
     let bounded = sim.request("b", BOUNDED_READ);
-    assert_eq!(sent_endpoints(&bounded), [LOCAL_REPLICA], "in the zone and off the primary");
+    assert_eq!(sent_endpoints(&bounded), [LOCAL_REPLICA], "a replica in the zone, not the primary");
     assert_eq!(sent_endpoints(&sim.request("a", EVENTUAL_READ)), [LOCAL_REPLICA]);
 }
 
@@ -54,7 +54,7 @@
     assert_eq!(
         sent_endpoints(&without_fresh_replica),
         [PRIMARY],
-        "an endpoint that serves stale reads must be known fresh"
+        "endpoints serve stale reads, so a replica must be known to be fresh"
     );
 }
 
@@ -72,7 +72,11 @@
     let rejected = FinishedAttempt::new("b", LOCAL_REPLICA, Outcome::Ineligible).role(Role::Replica);
     let retried = sim.finish_attempt_with(rejected.log_position(sim.now - 3.0));
     assert_ne!(sent_endpoints(&retried), [LOCAL_REPLICA]);
-    assert_ne!(sent_endpoints(&sim.request("c", BOUNDED_READ)), [LOCAL_REPLICA], "it is left to catch up");
+    assert_ne!(
+        sent_endpoints(&sim.request("c", BOUNDED_READ)),
+        [LOCAL_REPLICA],
+        "it is given time to catch up"
+    );
 }
 
 #[test]
@@ -89,7 +93,7 @@
     }
 }
 
-/// Without a primary all log positions stand still. Trying every replica in turn would only add load.
+/// Without a primary, no log position advances. Trying every replica in turn would only add load.
 #[test]
 fn replicas_known_to_lag_are_not_all_tried() {
     let mut sim = Simulation::new(default_settings());
@@ -111,10 +115,10 @@
         }
     }
     let sends = sent_endpoints(&sim.actions[first_action..]).len();
-    assert!(sends <= 4, "{sends} attempts for five reads that no endpoint can answer");
+    assert!(sends <= 4, "{sends} attempts of five reads that no endpoint can answer");
 }
 
-/// Work that an endpoint rejects for overload ends at once, which makes the endpoint look idle.
+/// Requests that an endpoint rejects as overloaded end at once, which would make the endpoint appear idle.
 #[test]
 fn an_endpoint_that_rejects_requests_as_overloaded_counts_as_loaded() {
     let mut sim = Simulation::new(default_settings());
@@ -134,11 +138,11 @@
             sim.finish_attempt(&id, &endpoint, 0, Outcome::Success);
         }
     }
-    assert!(sent_to_overloaded <= 3, "{sent_to_overloaded} of 20 went to the overloaded endpoint");
+    assert!(sent_to_overloaded <= 3, "{sent_to_overloaded} of 20 reads went to the overloaded endpoint");
 }
 
-/// Answers eventual reads after 3 s each, wherever they go: longer than the bound of the bounded reads. The
-/// policy expects such a latency of the class from then on.
+/// Answers eventual reads after 3 s each, which is longer than the staleness bound of the bounded reads. From
+/// then on, the policy predicts such a latency for the class.
 fn raise_eventual_read_latency(sim: &mut Simulation) {
     for i in 0..40 {
         sim.advance_time(0.1);
@@ -149,7 +153,8 @@
     }
 }
 
-/// Long reads are known, and of three remote replicas one never reported, one lags and one is fresh.
+/// Creates a simulation in which eventual reads are long. Of three remote replicas, one has never reported
+/// its log position, one lags and one is fresh.
 fn simulation_with_long_reads(settings: Settings) -> Simulation {
     let mut sim = Simulation::new(settings);
     let replicas = vec![replica(LAGGING_REPLICA, REMOTE_ZONE), replica(FRESH_REPLICA, REMOTE_ZONE)];
@@ -161,7 +166,8 @@
     sim
 }
 
-/// Long reads hold up the log of their replica. Spread over all replicas, they would leave few of them fresh.
+/// Long reads delay the replication of their replica. Spread over all replicas, they would leave few of them
+/// fresh.
 #[test]
 fn long_eventual_reads_are_concentrated_on_the_replica_that_lags_most() {
     let mut sim = Simulation::new(default_settings());
@@ -175,8 +181,8 @@
     );
 }
 
-/// Overflow must not go to the least loaded replica: that one is idle because it is catching up, and another
-/// long read would hold up its log as well, so that no replica caught up.
+/// Guards against spilling over to the least loaded replica: it is idle because it is catching up, and a long
+/// read would delay its replication as well, so that no replica could catch up.
 #[test]
 fn long_eventual_reads_spill_over_to_the_replica_that_lags_next_most() {
     let mut sim = simulation_with_long_reads(default_settings());
@@ -187,15 +193,16 @@
     }
 }
 
-/// Guards against rejecting a long read because the replica that lags most cannot answer in time while the
-/// next one can. Only one more is considered, or long reads would hold up the log of every replica.
+/// Guards against rejecting a long read because the replica that lags most cannot answer in time, while the
+/// next one can. Only one more is considered: otherwise long reads would delay the replication of every
+/// replica.
 #[test]
 fn a_long_eventual_read_considers_one_more_replica_that_can_answer_in_time() {
     let mut sim = simulation_with_long_reads(Settings { pooler_count: 8, ..default_settings() });
     assert_eq!(sent_endpoints(&sim.request("b0", EVENTUAL_READ)), [REMOTE_REPLICA]);
     assert_eq!(sent_endpoints(&sim.request("b1", EVENTUAL_READ)), [LAGGING_REPLICA]);
     let third = sim.request("b2", EVENTUAL_READ);
-    assert_eq!(sent_endpoints(&third), [PRIMARY], "the primary has no log to apply");
+    assert_eq!(sent_endpoints(&third), [PRIMARY], "long reads delay no replication on the primary");
     let fourth = sim.request("b3", EVENTUAL_READ);
-    assert_eq!(count_final_answers(&fourth), 1, "the fresh replica is left to the reads that need it");
+    assert_eq!(count_final_answers(&fourth), 1, "the fresh replica is kept for reads that need it");
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Attempts of a request: deadlines, retries and their budget, idempotency keys and hedged requests.
+//! Attempts of requests: deadlines, retries, the retry budget, idempotency keys and hedged requests.
 
 use pg_pooler::interface::{Action, Event, Outcome, Role, UpdateKind};
 use pg_pooler::settings::Settings;
@@ -11,6 +11,7 @@
     SESSION_READ, STRONG_READ,
 };
 
+/// The primary serves the first attempt of a write.
 fn succeed_on_primary(sim: &mut Simulation, id: &str) {
     sim.finish_attempt_with(FinishedAttempt::new(id, PRIMARY, Outcome::Success).role(Role::Primary));
 }
@@ -36,17 +37,21 @@
     assert_eq!(count_final_answers(&sim.actions), 6);
 }
 
-/// Guards against keeping a request that no endpoint has received until its client has no time left to retry.
+/// Guards against queuing a request that no endpoint has received until its client has no time left to retry.
 #[test]
 fn a_request_that_reached_no_endpoint_is_rejected_after_half_its_timeout() {
     let mut sim = Simulation::new(default_settings());
-    // Connections to the primary fail: a write waits for another primary.
+    // Connections to the primary fail, so that the next write is queued until there is another primary.
     for id in ["x", "y"] {
         sim.request(id, KEYED_WRITE);
         sim.finish_attempt(id, PRIMARY, 0, Outcome::ConnectFailed);
     }
     assert_eq!(sent_endpoints(&sim.request("w", KEYED_WRITE)), NO_ENDPOINTS);
-    assert_eq!(count_final_answers(&sim.advance_time(0.85)), 0, "half of 1.8 s is not over");
+    assert_eq!(
+        count_final_answers(&sim.advance_time(0.85)),
+        0,
+        "half of the timeout of 1.8 s has not passed"
+    );
     let actions = sim.advance_time(0.1);
     let is_rejection = |action: &Action| match action {
         Action::Reject { id, retry_after } => &**id == "w" && *retry_after > Some(secs(0.0)),
@@ -55,7 +60,7 @@
     assert!(actions.iter().any(is_rejection), "{actions:?}");
 }
 
-/// Guards against the opposite: giving up early on what an endpoint has received.
+/// Guards against giving up a request early although an endpoint has received it.
 #[test]
 fn a_request_that_reached_an_endpoint_keeps_its_whole_timeout() {
     let mut sim = Simulation::new(default_settings());
@@ -113,12 +118,16 @@
     sim.now += 1.0;
     let actions = sim.finish_attempt("w", PRIMARY, 0, Outcome::Error);
     let sends = sent_endpoints(&actions).len();
-    assert_eq!((sends, count_final_answers(&actions)), (0, 1), "time to connect is kept in reserve");
+    assert_eq!(
+        (sends, count_final_answers(&actions)),
+        (0, 1),
+        "the remaining window is too short to connect"
+    );
     assert!(actions.contains(&Action::Fail { id: "w".into() }));
 }
 
-/// Sends a write that gets no answer, and twenty later ones. Returns the simulation, and whether the attempt
-/// of the first was cancelled.
+/// Sends a write that gets no answer, and then twenty writes that are answered, if `later_writes_succeed`.
+/// Returns the simulation, and whether the attempt of the first write was cancelled.
 fn simulate_lost_answer(later_writes_succeed: bool) -> (Simulation, bool) {
     let mut sim = Simulation::new(default_settings());
     sim.request("lost", KEYED_WRITE);
@@ -135,19 +144,20 @@
     (sim, cancelled)
 }
 
-/// A primary served all writes but one in eight, which its poolers waited for until the clients gave up.
+/// Guards against waiting for a lost answer until the client times out: a primary answered all writes but one
+/// in eight.
 #[test]
 fn a_keyed_write_is_retried_once_the_primary_has_answered_many_later_ones() {
     let (mut sim, cancelled) = simulate_lost_answer(true);
     assert!(cancelled);
     let retried = sim.finish_attempt("lost", PRIMARY, 0, Outcome::Cancelled);
-    assert_eq!(sent_endpoints(&retried), [PRIMARY], "inside its deduplication window");
+    assert_eq!(sent_endpoints(&retried), [PRIMARY], "the retry is inside the deduplication window");
     let (_, cancelled) = simulate_lost_answer(false);
-    assert!(!cancelled, "a primary that answers nothing may be slow: its writes are not repeated");
+    assert!(!cancelled, "a primary that answers nothing may be slow, so its writes are not repeated");
 }
 
-/// A write to a primary that answers twenty later ones but not this one. After `failover_after` seconds the
-/// remote replica is promoted, and half a second passes.
+/// Sends a write that the primary does not answer, while it answers twenty later ones. After `failover_after`
+/// seconds the remote replica is promoted, and another half second passes.
 fn simulate_lost_answer_and_failover(settings: Settings, failover_after: f64) -> Simulation {
     let mut sim = Simulation::new(settings);
     sim.request("lost", KEYED_WRITE);
@@ -169,7 +179,7 @@
     sim
 }
 
-/// Where a request was sent and with which timeout, for each attempt.
+/// Returns the endpoint and the timeout in seconds of each attempt of a request.
 fn attempts_of(sim: &Simulation, request: &str) -> Vec<(String, f64)> {
     let attempt = |action: &Action| match action {
         Action::Send { id, endpoint, timeout } if &**id == request => {
@@ -180,15 +190,15 @@
     sim.actions.iter().filter_map(attempt).collect()
 }
 
-/// Settings that allow hedged requests, with that deduplication window for keyed writes.
+/// Settings that allow hedged requests, with the given deduplication window for keyed writes.
 fn hedging_settings(deduplication_window: f64) -> Settings {
     let mut settings = Settings { hedging: true, ..default_settings() };
     settings.classes[KEYED_WRITE].deduplication_window = secs(deduplication_window);
     settings
 }
 
-/// Guards against a hedged write that reaches a promoted replica after its deduplication window: it would be
-/// executed a second time.
+/// Guards against a hedged write that reaches a promoted replica after the end of its deduplication window:
+/// it would be executed a second time.
 #[rstest]
 #[case::window_closed(0.5, 1)]
 #[case::connect_timeout_does_not_fit(1.0, 1)]
@@ -205,7 +215,7 @@
 fn a_hedged_write_times_out_before_its_deduplication_window_closes() {
     let sim = simulate_lost_answer_and_failover(hedging_settings(1.3), 0.8);
     let attempts = attempts_of(&sim, "lost");
-    assert_eq!(attempts[1].0, REMOTE_REPLICA, "only the primary takes writes");
+    assert_eq!(attempts[1].0, REMOTE_REPLICA, "only the new primary takes writes");
     assert!(attempts[1].1 <= 0.5, "{attempts:?}");
 }
 
@@ -215,8 +225,8 @@
     assert_eq!(attempts_of(&sim, "lost").len(), 1);
 }
 
-/// Guards against counting the window from the attempt that ended first: with two in flight that need not be
-/// the one that was sent first.
+/// Guards against measuring the window from the attempt that ended first: with two attempts in flight, that
+/// is not necessarily the one that was sent first.
 #[test]
 fn the_deduplication_window_begins_with_the_first_attempt_that_was_sent() {
     let mut sim = simulate_lost_answer_and_failover(hedging_settings(1.3), 0.8);
@@ -224,11 +234,12 @@
     sim.finish_attempt("lost", REMOTE_REPLICA, 1, Outcome::Error);
     sim.advance_time(0.05);
     sim.finish_attempt("lost", PRIMARY, 0, Outcome::ConnectionReset);
-    assert_eq!(attempts_of(&sim, "lost").len(), 2, "1.35 s after the first");
+    assert_eq!(attempts_of(&sim, "lost").len(), 2, "1.35 s after the first attempt");
     assert_eq!(count_final_answers(&sim.actions), 1);
 }
 
-/// Guards against hedging the hedge: with each attempt silent, a read was in flight at all replicas at once.
+/// Guards against hedging a hedged attempt: when every attempt was silent, a read was in flight at all
+/// replicas at once.
 #[test]
 fn with_hedging_a_request_never_has_three_attempts_in_flight() {
     let mut settings = Settings { hedging: true, ..default_settings() };
@@ -257,7 +268,7 @@
     assert_eq!(sent_endpoints(&sim.actions).len(), 1);
 }
 
-/// A program that ends cannot wait for an answer.
+/// A process that is about to be killed cannot wait for an answer.
 #[test]
 fn an_imminent_shutdown_ends_a_request_at_once() {
     let mut sim = Simulation::new(default_settings());
@@ -267,17 +278,18 @@
     let announce_shutdown =
         |sim: &mut Simulation, id: &str| sim.handle(Event::ShutdownImminent { id: id.into() });
     let read = announce_shutdown(&mut sim, "read");
-    assert!(matches!(&read[..], [Action::Reject { .. }]), "a repeat is harmless: {read:?}");
+    assert!(matches!(&read[..], [Action::Reject { .. }]), "a retry is safe: {read:?}");
     let write = announce_shutdown(&mut sim, "write");
     assert_eq!(write, [Action::Fail { id: "write".into() }], "it may have been executed");
     assert_eq!(announce_shutdown(&mut sim, "write"), []);
     assert_eq!(announce_shutdown(&mut sim, "unknown"), []);
 }
 
-/// The program may be held up this long between a decision and the write to the socket (seconds).
+/// How long the process may be suspended between a decision and the resulting network write, in seconds. The
+/// policy uses the same time.
 const MAX_PROCESS_PAUSE: f64 = 0.15;
 
-/// A retry that is sent late must still arrive inside the deduplication window.
+/// A retry that is sent late because of a pause must still arrive inside the deduplication window.
 #[test]
 fn a_retry_leaves_time_for_a_suspended_process() {
     let settings = Settings { connect_timeout: secs(0.05), ..default_settings() };
--- a/tests/policy/sessions.rs
+++ b/tests/policy/sessions.rs
@@ -1,4 +1,4 @@
-//! Read-your-writes consistency: a session's reads see its own earlier writes.
+//! Read-your-writes consistency: the reads of a session see its earlier writes.
 
 use pg_pooler::interface::{Action, Event, Outcome, Request, Role};
 use pg_pooler::settings::{Settings, StaleReadHandling};
@@ -8,7 +8,7 @@
     LOCAL_REPLICA, NON_IDEMPOTENT_WRITE, PRIMARY, SESSION_READ,
 };
 
-/// Settings under which the pooler remembers when each session last wrote, and endpoints serve stale reads.
+/// Settings with which the pooler records the writes of each session, and endpoints serve stale reads.
 fn settings_that_record_writes() -> Settings {
     Settings { stale_reads: StaleReadHandling::Serve, session_tokens_carried: false, ..default_settings() }
 }
@@ -48,7 +48,7 @@
 fn a_write_without_a_plausible_commit_position_counts_as_committed_when_answered() {
     let mut sim = Simulation::new(settings_that_record_writes());
     sim.report_fresh(LOCAL_REPLICA);
-    // No position, one in the future and one that is not a number.
+    // No position, a position in the future, and a position that is not a number.
     for (id, commit) in [("1", None), ("2", Some(sim.now + 1e6)), ("3", Some(f64::NAN))] {
         sim.now += 0.1;
         request(&mut sim, id, KEYED_WRITE);
@@ -68,7 +68,7 @@
     }
 }
 
-/// A pooler that remembers writes knows of none after a restart: any session may have written before it.
+/// The recorded writes are lost in a restart, so any session may have written before it.
 #[test]
 fn after_a_restart_an_unknown_session_reads_data_no_older_than_the_start() {
     let mut sim = Simulation::new(settings_that_record_writes());
@@ -78,8 +78,8 @@
     assert_eq!(sent_endpoints(&request(&mut sim, "later", SESSION_READ)), [LOCAL_REPLICA]);
 }
 
-/// A write that is in flight, or whose answer was lost, may have been executed. A replica without it must not
-/// answer the reads of its session that follow.
+/// A write that is in flight or whose answer was lost may have been executed. Later reads of its session must
+/// not go to a replica that has not applied it.
 #[test]
 fn a_possibly_executed_write_sends_its_sessions_reads_to_the_primary() {
     let mut sim = Simulation::new(settings_that_record_writes());
@@ -89,13 +89,13 @@
     sim.now += 0.1;
     sim.report_fresh(LOCAL_REPLICA);
     sim.now += 0.1;
-    let in_flight = request(&mut sim, "while it is in flight", SESSION_READ);
+    let in_flight = request(&mut sim, "write-in-flight", SESSION_READ);
     assert_eq!(sent_endpoints(&in_flight), [PRIMARY]);
     sim.finish_attempt("w", PRIMARY, 0, Outcome::ConnectionReset);
     sim.now += 0.1;
-    let before_report = request(&mut sim, "the replica is older than the loss", SESSION_READ);
+    let before_report = request(&mut sim, "before-report", SESSION_READ);
     assert_eq!(sent_endpoints(&before_report), [PRIMARY]);
     sim.report_fresh(LOCAL_REPLICA);
-    let after_report = request(&mut sim, "the replica is newer", SESSION_READ);
+    let after_report = request(&mut sim, "after-report", SESSION_READ);
     assert_eq!(sent_endpoints(&after_report), [LOCAL_REPLICA]);
 }
--- a/tests/policy/settings.rs
+++ b/tests/policy/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::harness::{default_settings, secs};
 
-/// The field that the policy rejects after this change to valid settings.
+/// Returns the field that the policy rejects after a change to valid settings.
 fn rejected_field(change: fn(&mut Settings)) -> Option<String> {
     let mut settings = default_settings();
     change(&mut settings);
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: an endpoint that has just started gets only what its present capacity bears.
+//! Slow start: an endpoint that has just started gets no more traffic than its present capacity allows.
 
 use pg_pooler::interface::{Endpoint, Outcome, Role, UpdateKind};
 use pg_pooler::settings::Settings;
@@ -11,16 +11,16 @@
     REMOTE_ZONE,
 };
 
-/// Remote replicas of the fleet test, all at full capacity.
+/// Remote replicas of the fleet tests, all at full capacity.
 const REMOTE_REPLICAS: [&str; 4] = ["remote-1", "remote-2", "remote-3", "remote-4"];
-/// Requests per second of the whole fleet.
+/// Requests per second that the whole fleet receives.
 const FLEET_RATE: f64 = 240.0;
-/// Seconds that the fleet test simulates.
+/// Simulated time of the fleet tests, in seconds.
 const FLEET_SECONDS: f64 = 6.0;
-/// Requests of the fleet test.
+/// Number of requests in the fleet tests.
 const FLEET_REQUESTS: usize = (FLEET_SECONDS * FLEET_RATE) as usize;
 
-/// The local replica, started at that time.
+/// The entry of a local replica that started at the given time.
 fn warming_replica(started_at: f64) -> Endpoint {
     Endpoint { started_at: Some(ClusterInstant::from_secs(started_at)), ..replica(LOCAL_REPLICA, LOCAL_ZONE) }
 }
@@ -42,8 +42,8 @@
     assert!(all > 150 && to_warming > 0 && to_warming * 3 < all, "{to_warming} of {all}");
 }
 
-/// Guards against a first request that every pooler sends unconditionally: hundreds at once overload an
-/// endpoint that has just started.
+/// Guards against poolers that each send a first request unconditionally: hundreds of simultaneous requests
+/// overload an endpoint that has just started.
 #[test]
 fn the_first_reads_of_a_large_fleet_respect_a_warming_endpoints_capacity() {
     let mut to_warming = 0;
@@ -55,17 +55,20 @@
         let first = sim.request("first", EVENTUAL_READ);
         to_warming += usize::from(sent_endpoints(&first) == [LOCAL_REPLICA]);
     }
-    assert!((10..=70).contains(&to_warming), "{to_warming} of 200 first reads, at a fifth of the capacity");
+    assert!(
+        (10..=70).contains(&to_warming),
+        "{to_warming} of 200 first reads went to an endpoint at a fifth of its capacity"
+    );
 }
 
-/// A read that went to the warming endpoint.
+/// A read that was sent to the warming endpoint.
 struct WarmingRead {
     sent_at: f64,
-    /// Work, in multiples of a short read's.
+    /// Work, in multiples of the work of a short read.
     work: f64,
 }
 
-/// Poolers that share one group, whose only local replica for all of them is warming up.
+/// Poolers that share a group whose only local replica is warming up.
 struct Fleet {
     poolers: Vec<Simulation>,
     random: fastrand::Rng,
@@ -85,7 +88,8 @@
         Fleet { poolers, random: fastrand::Rng::with_seed(seed), started_at }
     }
 
-    /// Serves one read at a random pooler, a few of which get most of the traffic. Returns its endpoint.
+    /// Serves a read at a random pooler and returns the endpoint that got it. A few poolers get most of the
+    /// traffic.
     fn serve(&mut self, id: &str, class: usize, now: f64, work: f64) -> String {
         let pooler = (self.random.f64().powi(3) * self.poolers.len() as f64) as usize;
         let sim = &mut self.poolers[pooler];
@@ -100,10 +104,10 @@
     }
 }
 
-/// Within each overload window, the endpoint must get no more work than its capacity times the overload
-/// limit, and what chance adds to that.
+/// Asserts that within each overload window, the endpoint gets no more work than its present capacity times
+/// the overload limit, plus random variation.
 fn assert_work_within_limit(reads: &[WarmingRead], mean_work: f64, started_at: f64, settings: &Settings) {
-    // Six endpoints bear the load, which is four fifths of their capacity.
+    // The load is four fifths of the capacity of the six endpoints.
     let full_capacity = FLEET_RATE / 6.0 / 0.8;
     for (first, WarmingRead { sent_at, .. }) in reads.iter().enumerate() {
         let window = reads[first..]
@@ -115,12 +119,15 @@
                 / settings.slow_start_window.as_secs();
         let limit =
             overload_limit(settings) * capacity_share * full_capacity * settings.overload_window.as_secs();
-        assert!(work <= limit + 2.0 * limit.sqrt() + 2.0, "{work} over a limit of {limit}, at {sent_at}");
+        assert!(
+            work <= limit + 2.0 * limit.sqrt() + 2.0,
+            "work {work} exceeds the limit {limit} at {sent_at} s"
+        );
     }
 }
 
-/// A whole fleet respects the overload limit of a warming endpoint, although its poolers do not communicate,
-/// have unequal traffic, and one read in ten may take four times as long as the others.
+/// The limit must hold although the poolers do not communicate, their traffic is unequal, and in some cases
+/// one read in ten takes four times as long as the others.
 #[rstest]
 fn a_whole_fleet_respects_the_overload_limit_of_a_warming_endpoint(
     #[values(20, 300)] pooler_count: u32,
@@ -140,7 +147,7 @@
             reads.push(WarmingRead { sent_at, work });
         }
     }
-    assert!(reads.len() > 10, "it gets some: {}", reads.len());
+    assert!(reads.len() > 10, "only {} reads were sent to the warming endpoint", reads.len());
     assert_work_within_limit(&reads, total_work / (FLEET_SECONDS * FLEET_RATE), fleet.started_at, &settings);
 }
 
@@ -148,13 +155,13 @@
     settings.overload_limit.expect("these settings have a limit")
 }
 
-/// Requests per second of the fleet in a burst.
+/// Requests per second that the whole fleet receives in a burst.
 const BURST_RATE: f64 = 3.0 * FLEET_RATE;
-/// Seconds of usual traffic before the burst.
+/// Duration of the baseline traffic before the burst, in seconds.
 const SECONDS_BEFORE_BURST: f64 = 10.0;
 
-/// Requests that reach an endpoint in slow start must stay within its limit and what chance adds to that,
-/// which is more where the limit is below thirty requests.
+/// Asserts that within each overload window, the requests to an endpoint in slow start stay within its
+/// overload limit, plus random variation. More variation is allowed if the limit is below thirty requests.
 fn assert_requests_within_limit(sent_at: &[f64], started_at: f64, settings: &Settings) {
     let full_capacity = FLEET_RATE / 6.0 / 0.8;
     for (first, start) in sent_at.iter().enumerate() {
@@ -166,13 +173,13 @@
         let count = window.count() as f64;
         assert!(
             count <= limit + deviations * limit.sqrt() + deviations,
-            "{count} over a limit of {limit}, at {start}"
+            "{count} requests exceed the limit {limit} at {start} s"
         );
     }
 }
 
-/// The share of the traffic that an endpoint in slow start gets was once the same in a burst of three times
-/// the mean, which exceeds what it bears.
+/// Guards against limiting an endpoint in slow start only to a share of the traffic: in a burst of three
+/// times the mean traffic, the same share exceeds its overload limit.
 #[rstest]
 fn a_burst_just_after_the_start_does_not_overload_a_warming_endpoint(
     #[values(3, 20)] pooler_count: u32,
@@ -198,12 +205,12 @@
             sent_at.push(now);
         }
     }
-    assert!(sent_at.len() > 10, "it gets some: {}", sent_at.len());
+    assert!(sent_at.len() > 10, "only {} requests were sent to the warming endpoint", sent_at.len());
     assert_requests_within_limit(&sent_at, restarted_at, &settings);
 }
 
-/// Writes and the reads that overflow to a primary were once limited each by itself, and in their sum
-/// exceeded what it bears.
+/// Guards against limiting writes, and the reads that no replica can answer, separately at a primary in slow
+/// start: together they exceeded its overload limit.
 #[rstest]
 fn writes_and_reads_together_do_not_overload_a_warming_primary(
     #[values(1.5, 3.0, 4.0)] overload_limit: f64,
@@ -225,8 +232,8 @@
     let mut sent_at = Vec::new();
     for i in 0..FLEET_REQUESTS {
         sim.advance_time(1.0 / FLEET_RATE);
-        // Four fifths of a primary's full capacity are writes. All replicas reject the other requests as too
-        // stale.
+        // The writes take four fifths of the primary's full capacity. All replicas reject the reads because
+        // their data is too old.
         let class = if i % 6 == 0 { KEYED_WRITE } else { BOUNDED_READ };
         let id = format!("q{i}");
         let mut target = first_endpoint(&sim.request(&id, class));
@@ -245,7 +252,7 @@
             attempt += 1;
         }
     }
-    assert!(sent_at.len() > 10, "it gets some: {}", sent_at.len());
+    assert!(sent_at.len() > 10, "only {} requests were sent to the warming endpoint", sent_at.len());
     assert_requests_within_limit(&sent_at, started_at, &settings);
 }
 
