--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -1,4 +1,4 @@
-//! Checks each action of the policy against the events that it has received.
+//! Checks every action of the policy against the events that it has received.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,26 +13,26 @@
 use super::coverage::Coverage;
 use super::records::{AttemptRecord, EndpointRecord, RequestRecord};
 
-/// Tolerance for rounding, in seconds.
+/// Tolerance for the rounding of times, in seconds.
 const TIME_ROUNDING: f64 = 1e-6;
-/// Log positions up to this far ahead of the clock are credible, as in the policy.
+/// How far a plausible log position may lie in the future, in seconds. The policy uses the same limit.
 const POSITION_ROUNDING: f64 = 0.001;
 
-/// An invariant that was broken, and by which request.
+/// A violated invariant, and the request that violates it.
 pub struct Violation {
     pub invariant: &'static str,
     pub request: Arc<str>,
 }
 
-/// Follows the events and actions of one policy.
+/// Tracks the events and checks the actions of one policy.
 pub struct Checker {
     settings: Settings,
     now: f64,
     started_at: f64,
     endpoints: HashMap<Arc<str>, EndpointRecord>,
-    /// The primary of each group as the policy last announced it.
+    /// The primary of each group, as last reported by the policy.
     announced_primaries: HashMap<u32, Option<Arc<str>>>,
-    /// The log position that includes all ended writes of each session.
+    /// The log position that includes all ended writes, by session.
     session_commits: HashMap<Arc<str>, f64>,
     pub requests: HashMap<Arc<str>, RequestRecord>,
     pub coverage: Coverage,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes note of an event that the policy is about to receive.
+    /// Records an event that the policy is about to receive.
     pub fn observe_event(&mut self, now: f64, event: &Event) {
         self.now = now;
         match event {
@@ -110,7 +110,7 @@
         self.requests.insert(request.id.clone(), record);
     }
 
-    /// The log position by which the session's writes before this request are applied.
+    /// Returns the log position that includes every earlier write of the request's session.
     fn session_position(&self, request: &Request) -> f64 {
         if self.settings.session_tokens_carried {
             return request.session_token_age.map_or(f64::NEG_INFINITY, |age| self.now - age.as_secs());
@@ -124,7 +124,7 @@
         if self.requests.values().any(is_write_in_flight) {
             return self.now;
         }
-        // A session that is unknown may have written until the pooler started.
+        // A session without a recorded write may have written until the pooler started.
         self.session_commits.get(session).copied().unwrap_or(self.started_at)
     }
 
@@ -137,7 +137,7 @@
         if let Some(session) = request.session.clone().filter(|_| is_write) {
             self.observe_write(session, result);
         }
-        // A result that comes after the end of its request is not an answer to the client any more.
+        // A result that arrives after its request has finished is no answer to the client.
         let is_finished = self.requests.get(&result.id).is_some_and(RequestRecord::is_finished);
         if result.request_finished && !is_finished {
             self.end_request(&result.id);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Checks the next action that followed from the event.
+    /// Checks the next of the actions that resulted from the last event.
     pub fn check_action(&mut self, action: &Action) -> Result<(), Violation> {
         match action {
             Action::Send { id, endpoint, timeout } => {
@@ -202,7 +202,7 @@
     }
 
     fn check_final_answer(&self, id: &Arc<str>, rejects: bool) -> Result<(), &'static str> {
-        let request = self.requests.get(id).ok_or("a final answer goes to a request that was received")?;
+        let request = self.requests.get(id).ok_or("a final answer belongs to a request that was received")?;
         require(!request.is_finished(), "each request gets at most one final answer")?;
         let is_in_time = self.now <= request.deadline + TIME_ROUNDING;
         require(is_in_time, "each request gets a final answer by its deadline")?;
@@ -211,18 +211,22 @@
             class.idempotency != Idempotency::NonIdempotent || request.possibly_executed_since().is_none();
         require(
             !rejects || is_retry_safe,
-            "what may have been executed and is not idempotent fails, not rejected",
+            "a non-idempotent request that may have been executed fails and is not rejected",
         )
     }
 
     fn check_send(&self, id: &Arc<str>, endpoint: &Arc<str>, timeout: f64) -> Result<(), &'static str> {
-        let request = self.requests.get(id).ok_or("only a request that was received is sent")?;
-        let target = self.endpoints.get(endpoint).ok_or("a request goes only to a listed endpoint")?;
+        let request = self.requests.get(id).ok_or("a request is sent only after it was received")?;
+        let target =
+            self.endpoints.get(endpoint).ok_or("a request goes only to an endpoint that was listed")?;
         require(request.final_answers == 0, "nothing is sent after the final answer")?;
         require(!request.disconnected, "nothing is sent after the client disconnected")?;
         let in_flight = request.attempts.iter().filter(|attempt| attempt.is_in_flight()).count();
         let limit = if self.settings.hedging { 2 } else { 1 };
-        require(in_flight < limit, "two attempts in flight only with hedging, and never three")?;
+        require(
+            in_flight < limit,
+            "a request has two attempts in flight only with hedging, and never three",
+        )?;
         require(target.group == request.group, "a request goes only to an endpoint of its own group")?;
         require(!target.draining, "nothing is sent to a draining endpoint")?;
         let removed = target.status == EndpointStatus::Removed && !self.settings.removal_is_advisory;
@@ -233,7 +237,7 @@
         self.check_consistency(request, class, target, is_primary)
     }
 
-    /// Checks that the class allows one more attempt of what may have been executed.
+    /// Checks that the class allows another attempt if an earlier one may have been executed.
     fn check_repeat(
         &self,
         request: &RequestRecord,
@@ -245,16 +249,22 @@
         match class.idempotency {
             Idempotency::Idempotent => Ok(()),
             Idempotency::NonIdempotent => {
-                Err("what may have been executed and is not idempotent is not repeated")
+                Err("a non-idempotent request that may have been executed is not repeated")
             }
             Idempotency::IdempotencyKey => {
-                require(self.now < window_end, "no repeat is sent after the deduplication window")?;
-                require(self.now + timeout <= window_end, "no repeat is waited for after the window")
+                require(
+                    self.now < window_end,
+                    "no repeat is sent after the end of the deduplication window",
+                )?;
+                require(
+                    self.now + timeout <= window_end,
+                    "no repeat times out after the end of the deduplication window",
+                )
             }
         }
     }
 
-    /// Checks that the data of the endpoint is known to be recent enough, where it would serve stale reads.
+    /// Checks that the endpoint is known to be fresh enough, if it would serve stale reads.
     fn check_consistency(
         &self,
         request: &RequestRecord,
@@ -278,7 +288,7 @@
         }
     }
 
-    /// Counts which invariants were at stake in an attempt that is about to start.
+    /// Counts which invariants are exercised by an attempt that is about to start.
     fn record_coverage(&mut self, id: &Arc<str>, endpoint: &Arc<str>) {
         let (request, coverage) = (&self.requests[id], &mut self.coverage);
         let class = &self.settings.classes[request.class];
@@ -299,7 +309,7 @@
         coverage.sends_during_drain += usize::from(self.endpoints.values().any(is_draining));
     }
 
-    /// Checks, once every deadline has passed, that each request got its final answer.
+    /// Checks that each request got its final answer, once every deadline has passed.
     pub fn check_all_answered(&self) -> Result<(), Violation> {
         match self.requests.iter().find(|(_, request)| !request.is_finished()) {
             Some((id, _)) => Err(violation("each request gets a final answer", id)),
--- a/tests/policy/invariants/coverage.rs
+++ b/tests/policy/invariants/coverage.rs
@@ -1,12 +1,12 @@
 //! Counts how often the random events reach the states in which the invariants matter.
 
-/// Each count must be at least this over the seeds of a test case.
+/// Minimum of each count, over all seeds of a test case.
 const MIN_COUNT: usize = 25;
 
-/// How often the policy did what the invariants restrict.
+/// How often the policy took the actions that the invariants restrict.
 #[derive(Clone, Debug, Default)]
 pub struct Coverage {
-    /// Requests sent later than they arrived, without an earlier attempt.
+    /// Requests whose first attempt was sent later than they were received.
     pub queued_requests: usize,
     /// Attempts sent after another one had ended.
     pub retries: usize,
@@ -14,7 +14,7 @@
     pub hedged_requests: usize,
     /// Repeats, inside the deduplication window, of writes that may have been executed.
     pub keyed_repeats: usize,
-    /// Bounded and session reads sent to a replica that would serve stale data.
+    /// Bounded and session reads sent to an endpoint other than the primary, with stale reads served.
     pub reads_by_position: usize,
     /// Requests sent while an endpoint of their group was draining.
     pub sends_during_drain: usize,
@@ -35,7 +35,7 @@
             ("sends during a drain", self.sends_during_drain),
             ("rejections", self.rejections),
             ("failures", self.failures),
-            ("abandoned attempts", self.disconnects_in_flight),
+            ("disconnects in flight", self.disconnects_in_flight),
         ]
     }
 
--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -1,4 +1,4 @@
-//! Simulated endpoints, and what discovery says of them.
+//! Simulated endpoints, and the endpoint list that discovery sends.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 pub const GROUPS: u32 = 2;
 const ENDPOINTS_PER_GROUP: u32 = 4;
 const ZONES: u32 = 2;
-/// How far a session read's data may lag before an endpoint that checks rejects it.
+/// Lag in seconds above which an endpoint that rejects stale reads rejects session reads.
 const MAX_SESSION_LAG: f64 = 1.0;
 
-/// How an endpoint treats the attempts that reach it.
+/// Determines the outcome of the attempts that are sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Condition {
     Healthy,
@@ -21,11 +21,11 @@
     /// Accepts requests and never answers.
     Hanging,
     Overloaded,
-    /// Fails or breaks the connection now and then.
+    /// Sometimes reports an error, resets the connection or does not answer.
     Faulty,
 }
 
-/// An endpoint as it really is.
+/// The actual state of an endpoint, which the policy learns only from responses and the endpoint list.
 pub struct Host {
     pub entry: Endpoint,
     pub is_primary: bool,
@@ -35,7 +35,7 @@
 }
 
 impl Host {
-    /// How an attempt that is sent now will end.
+    /// Returns the outcome of an attempt that is sent now.
     pub fn outcome(
         &self,
         now: f64,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How a health check that starts now will end.
+    /// Returns the outcome of a health check that is sent now.
     pub fn health_check_outcome(&self) -> Outcome {
         match self.condition {
             Condition::Down => Outcome::ConnectFailed,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The log position in a response: mostly the true one, sometimes none or an impossible one.
+    /// Returns the log position in a response: usually the actual one, sometimes none or an implausible one.
     pub fn reported_position(&self, now: f64, random: &mut fastrand::Rng) -> Option<f64> {
         match random.u32(..20) {
             0 => Some(now + 1e6),
@@ -89,11 +89,11 @@
     }
 }
 
-/// All endpoints of all groups.
+/// The endpoints of all groups.
 pub struct Hosts(Vec<Host>);
 
 impl Hosts {
-    /// Healthy endpoints, the first one of each group its primary.
+    /// Creates healthy endpoints; the first one of each group is its primary.
     pub fn new() -> Hosts {
         let host = |number: u32| {
             let group = number / ENDPOINTS_PER_GROUP;
@@ -111,22 +111,24 @@
         Hosts((0..GROUPS * ENDPOINTS_PER_GROUP).map(host).collect())
     }
 
-    /// The endpoint with that identifier as it is now: a primary has applied all commits.
+    /// Returns the endpoint with the given identifier in its present state. A primary has applied all
+    /// commits.
     pub fn get(&mut self, id: &Arc<str>, now: f64) -> &Host {
-        let host = self.0.iter_mut().find(|host| host.entry.id == *id).expect("a listed endpoint");
+        let host = self.0.iter_mut().find(|host| host.entry.id == *id).expect("the endpoint exists");
         if host.is_primary {
             host.applied_position = now;
         }
         host
     }
 
-    /// The entries of a complete list.
+    /// Returns the entries of a complete endpoint list.
     pub fn list_entries(&self) -> Vec<Endpoint> {
         let listed = self.0.iter().filter(|host| host.entry.status != EndpointStatus::Removed);
         listed.map(|host| host.entry.clone()).collect()
     }
 
-    /// Lets replicas catch up, and now and then changes the condition or the role of an endpoint.
+    /// Advances the log position of a random replica, and sometimes changes the condition or the role of an
+    /// endpoint.
     pub fn change_randomly(&mut self, now: f64, random: &mut fastrand::Rng) {
         let index = random.usize(..self.0.len());
         let host = &mut self.0[index];
@@ -152,7 +154,8 @@
         }
     }
 
-    /// What discovery says next: the status, role, start or group of an endpoint, the whole list, or nothing.
+    /// Changes the status, role, start or group of a random endpoint. Returns its entry or the complete list as
+    /// an update, or a failure of the watch.
     pub fn random_list_update(&mut self, now: f64, random: &mut fastrand::Rng) -> Event {
         let kind = match random.u32(..10) {
             0 => None,
--- a/tests/policy/invariants/mod.rs
+++ b/tests/policy/invariants/mod.rs
@@ -1,8 +1,8 @@
-//! Property test: random but legal sequences of events must never make the policy break an invariant.
+//! Property test: the policy must not violate an invariant in any random, valid sequence of events.
 //!
-//! `workload` generates the events of a seed around the simulated endpoints of `hosts`. `checker` checks
-//! every action against the events so far, of which it keeps `records`. `coverage` counts how often the
-//! invariants were at stake.
+//! `workload` generates the events of a seed, with the simulated endpoints of `hosts`. `checker` checks every
+//! action against the events so far, which it keeps as `records`. `coverage` counts how often the invariants
+//! were exercised.
 
 mod checker;
 mod coverage;
@@ -14,13 +14,13 @@
 use rstest::rstest;
 use workload::{Failure, Workload};
 
-/// Seeds of one test case.
+/// Number of seeds of each test case.
 const SEEDS_PER_CASE: u64 = 60;
-/// Random events of one seed; answers, health checks and timers come on top.
+/// Number of random events of each seed, not counting the results of attempts and health checks, and timers.
 const EVENTS_PER_SEED: usize = 400;
 
-/// Runs the seeds of a case and reports the failure that took the fewest events. Fails as well when the
-/// events no longer reach the states in which the invariants matter.
+/// Runs the seeds of a case and reports the failure with the fewest events. Also fails if the events no
+/// longer reach the states in which the invariants matter.
 #[rstest]
 fn random_events_never_violate_an_invariant(#[values(0, 1, 2, 3)] case: u64) {
     let mut coverage = Coverage::default();
--- a/tests/policy/invariants/workload.rs
+++ b/tests/policy/invariants/workload.rs
@@ -1,4 +1,4 @@
-//! A seeded simulation of clients, endpoints and discovery that produces legal events for one policy.
+//! A seeded simulation of clients, endpoints and discovery, which generates valid events for one policy.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,18 +11,20 @@
 use super::hosts::{Hosts, GROUPS};
 use crate::harness::{default_settings, secs, Simulation, KEYED_WRITE};
 
-/// Past every deadline, so that each request must have been answered.
+/// Simulated time after the last random event, in seconds. It exceeds every deadline, so that each request
+/// must have been answered by then.
 const SETTLE_TIME: f64 = 5.0;
-const CONNECT_TIME: f64 = 0.01;
+/// Time until an overload rejection, a fast connection failure or a cancellation is reported, in seconds.
+const ROUND_TRIP_TIME: f64 = 0.01;
 
-/// The result of an attempt or a health check that is on its way to the policy.
+/// The result of an attempt or a health check that the policy has not received yet.
 struct Pending {
     due: f64,
     sent_at: f64,
     event: Event,
 }
 
-/// A broken invariant, with the events that led to it.
+/// A violated invariant, with the events that led to it.
 pub struct Failure {
     seed: u64,
     pub events: usize,
@@ -38,7 +40,7 @@
     }
 }
 
-/// One policy, its surroundings and the checks of what it does.
+/// One policy, its simulated environment, and the checks of its actions.
 pub struct Workload {
     seed: u64,
     random: fastrand::Rng,
@@ -47,7 +49,7 @@
     pub checker: Checker,
     hosts: Hosts,
     pending: Vec<Pending>,
-    /// Requests that may still get their final answer.
+    /// Requests that have not finished.
     unfinished: Vec<Arc<str>>,
     history: Vec<(f64, Event, Vec<Action>)>,
     requests: usize,
@@ -91,7 +93,7 @@
         Workload { seed, random, settings, sim, checker, hosts, pending, unfinished, history, requests: 0 }
     }
 
-    /// Delivers so many random events and then waits until every request is over.
+    /// Delivers the given number of random events, and then waits until every deadline has passed.
     pub fn run(&mut self, events: usize) -> Result<(), Failure> {
         self.run_events(events).map_err(|violation| Failure {
             seed: self.seed,
@@ -117,7 +119,7 @@
         self.checker.check_all_answered()
     }
 
-    /// Advances the clock and delivers the timers and results that come due, in their order.
+    /// Advances the clock and delivers the timers and results that become due, in order.
     fn advance_time(&mut self, seconds: f64) -> Result<(), Violation> {
         let end = self.sim.now + seconds;
         loop {
@@ -140,11 +142,11 @@
         }
     }
 
-    /// Adds to a result what is known only when it arrives.
+    /// Sets the fields of an attempt result that are known only when it is delivered.
     fn complete_result(&mut self, pending: Pending) -> Event {
         let Event::AttemptFinished(result) = pending.event else { return pending.event };
         let request = &self.checker.requests[&result.id];
-        // A client that has disconnected gets no answer, so its request may count as finished or not.
+        // A client that has disconnected gets no answer, so its request may be reported as finished or not.
         let is_finished = request.final_answers > 0 || request.disconnected && self.random.bool();
         let request_finished = result.request_finished || is_finished;
         let elapsed = self.sim.now - pending.sent_at;
@@ -186,8 +188,8 @@
             Outcome::ConnectFailed if self.random.bool() => {
                 self.settings.connect_timeout.as_secs().min(timeout)
             }
-            Outcome::ConnectFailed | Outcome::Overloaded => CONNECT_TIME.min(timeout),
-            // A few answers are slow enough to be overdue.
+            Outcome::ConnectFailed | Outcome::Overloaded => ROUND_TRIP_TIME.min(timeout),
+            // One answer in twenty may be slow enough to be overdue.
             _ if self.random.u32(..20) == 0 => timeout * self.random.f64(),
             _ => (0.1 * self.random.f64()).min(timeout),
         };
@@ -213,7 +215,7 @@
         self.schedule(time, Event::HealthCheckFinished { endpoint, outcome, report });
     }
 
-    /// What an endpoint reports about itself now.
+    /// Returns the load report of an endpoint.
     fn report(&mut self, endpoint: &Arc<str>) -> LoadReport {
         let host = self.hosts.get(endpoint, self.sim.now);
         let log_position = host.reported_position(self.sim.now, &mut self.random);
@@ -229,7 +231,7 @@
     }
 
     fn cancel_attempt(&mut self, id: &str, number: usize) {
-        let due = self.sim.now + CONNECT_TIME;
+        let due = self.sim.now + ROUND_TRIP_TIME;
         for pending in &mut self.pending {
             if let Event::AttemptFinished(result) = &mut pending.event {
                 if &*result.id == id && result.attempt == number && pending.due > due {
@@ -277,7 +279,8 @@
         })
     }
 
-    /// The list updates, changes of primary and events of one request, in readable form.
+    /// Formats the updates of the endpoint list, the changes of primary, and the events and actions of one
+    /// request.
     fn trace_of(&self, request: &str) -> Vec<String> {
         let quoted = format!("{request:?}");
         let mut lines = Vec::new();
