--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Changes the status, role, start or group of a random endpoint. Returns its entry or the complete list as
-    /// an update, or a failure of the watch.
+    /// May change the status, role, start or group of a random endpoint. Returns its entry or the complete
+    /// list as an update, or a failure of the watch.
     pub fn random_list_update(&mut self, now: f64, random: &mut fastrand::Rng) -> Event {
         let kind = match random.u32(..10) {
             0 => None,
