--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -7,7 +7,7 @@
 use crate::net::postgres::{BackendMessage, BackendMessageKind};
 use crate::net::Task;
 
-/// When the exchanges of these tests start.
+/// Start time of all exchanges in these tests.
 static STARTED_AT: LazyLock<Instant> = LazyLock::new(Instant::now);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -16,8 +16,8 @@
     Exchange::new(Task::HealthCheck, *STARTED_AT, TIMEOUT)
 }
 
-/// A state whose reply is an ErrorResponse with this code, or empty.
-fn busy(error_code: Option<&str>, response_started: bool) -> State {
+/// Returns a busy state whose reply is an ErrorResponse with this code, or empty.
+fn busy(error_code: Option<&str>, reply_started: bool) -> State {
     let mut reply = Reply::default();
     let mut value_memory = MemoryBudget::new(0).reservation();
     if let Some(code) = error_code {
@@ -25,7 +25,7 @@
         let error = BackendMessage { kind: BackendMessageKind::ErrorResponse, body };
         reply.add_message(&error, &Task::HealthCheck, &mut value_memory).unwrap();
     }
-    State::Busy { exchange: exchange(), reply, response_started }
+    State::Busy { exchange: exchange(), reply, reply_started }
 }
 
 #[rstest]
@@ -39,7 +39,7 @@
 )]
 #[case::query_sent(busy(None, false), WriteStatus::Written, Outcome::ConnectionReset)]
 #[case::error_received(busy(Some("25006"), true), WriteStatus::Written, Outcome::Ineligible)]
-fn a_lost_connection_may_have_executed_only_a_sent_query(
+fn after_a_lost_connection_only_a_sent_query_may_have_been_executed(
     #[case] state: State,
     #[case] query: WriteStatus,
     #[case] outcome: Outcome,
