--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -1,4 +1,4 @@
-//! Simulated endpoints, and what discovery says of them.
+//! Simulated endpoints, and the endpoint list that discovery sends.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 pub const GROUPS: u32 = 2;
 const ENDPOINTS_PER_GROUP: u32 = 4;
 const ZONES: u32 = 2;
-/// How far a session read's data may lag before an endpoint that checks rejects it.
-const SESSION_LAG: f64 = 1.0;
+/// Lag in seconds above which an endpoint that rejects stale reads rejects session reads.
+const MAX_SESSION_LAG: f64 = 1.0;
 
-/// How an endpoint treats the attempts that reach it.
+/// Determines the outcome of the attempts that are sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Condition {
     Healthy,
@@ -21,21 +21,21 @@
     /// Accepts requests and never answers.
     Hanging,
     Overloaded,
-    /// Fails or breaks the connection now and then.
+    /// Sometimes reports an error, resets the connection or does not answer.
     Faulty,
 }
 
-/// An endpoint as it really is.
+/// The actual state of an endpoint, which the policy learns only from responses and the endpoint list.
 pub struct Host {
     pub entry: Endpoint,
     pub is_primary: bool,
     pub condition: Condition,
     /// The log position that it has applied.
-    pub applied: f64,
+    pub applied_position: f64,
 }
 
 impl Host {
-    /// How an attempt that is sent now will end.
+    /// Returns the outcome of an attempt that is sent now.
     pub fn outcome(
         &self,
         now: f64,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How a health check that starts now will end.
+    /// Returns the outcome of a health check that is sent now.
     pub fn health_check_outcome(&self) -> Outcome {
         match self.condition {
             Condition::Down => Outcome::ConnectFailed,
@@ -72,28 +72,28 @@
 
     fn is_stale(&self, now: f64, consistency: Consistency) -> bool {
         match consistency {
-            Consistency::BoundedStaleness(bound) => self.applied < now - bound.as_secs(),
-            Consistency::Session => self.applied < now - SESSION_LAG,
+            Consistency::BoundedStaleness(bound) => self.applied_position < now - bound.as_secs(),
+            Consistency::Session => self.applied_position < now - MAX_SESSION_LAG,
             Consistency::Write | Consistency::Strong | Consistency::Eventual => false,
         }
     }
 
-    /// The log position in a response: mostly the true one, sometimes none or an impossible one.
+    /// Returns the log position in a response: usually the actual one, sometimes none or an implausible one.
     pub fn reported_position(&self, now: f64, random: &mut fastrand::Rng) -> Option<f64> {
         match random.u32(..20) {
             0 => Some(now + 1e6),
             1 => Some(f64::NAN),
             2..=5 => None,
-            _ => Some(self.applied).filter(|applied| applied.is_finite()),
+            _ => Some(self.applied_position).filter(|position| position.is_finite()),
         }
     }
 }
 
-/// All endpoints of all groups.
+/// The endpoints of all groups.
 pub struct Hosts(Vec<Host>);
 
 impl Hosts {
-    /// Healthy endpoints, the first one of each group its primary.
+    /// Creates healthy endpoints; the first one of each group is its primary.
     pub fn new() -> Hosts {
         let host = |number: u32| {
             let group = number / ENDPOINTS_PER_GROUP;
@@ -106,32 +106,34 @@
                 role: Role::primary_if(is_primary),
                 ..Endpoint::default()
             };
-            Host { entry, is_primary, condition: Condition::Healthy, applied: f64::NEG_INFINITY }
+            Host { entry, is_primary, condition: Condition::Healthy, applied_position: f64::NEG_INFINITY }
         };
         Hosts((0..GROUPS * ENDPOINTS_PER_GROUP).map(host).collect())
     }
 
-    /// The endpoint with that identifier as it is now: a primary has applied all commits.
+    /// Returns the endpoint with the given identifier in its present state. A primary has applied all
+    /// commits.
     pub fn get(&mut self, id: &Arc<str>, now: f64) -> &Host {
-        let host = self.0.iter_mut().find(|host| host.entry.id == *id).expect("a listed endpoint");
+        let host = self.0.iter_mut().find(|host| host.entry.id == *id).expect("the endpoint exists");
         if host.is_primary {
-            host.applied = now;
+            host.applied_position = now;
         }
         host
     }
 
-    /// The entries of a complete list.
-    pub fn listed(&self) -> Vec<Endpoint> {
+    /// Returns the entries of a complete endpoint list.
+    pub fn list_entries(&self) -> Vec<Endpoint> {
         let listed = self.0.iter().filter(|host| host.entry.status != EndpointStatus::Removed);
         listed.map(|host| host.entry.clone()).collect()
     }
 
-    /// Lets replicas catch up, and now and then changes the condition or the role of an endpoint.
-    pub fn change(&mut self, now: f64, random: &mut fastrand::Rng) {
+    /// Advances the log position of a random replica, and sometimes changes the condition or the role of an
+    /// endpoint.
+    pub fn change_randomly(&mut self, now: f64, random: &mut fastrand::Rng) {
         let index = random.usize(..self.0.len());
         let host = &mut self.0[index];
         if !host.is_primary && random.u32(..3) > 0 {
-            host.applied = host.applied.max(now - 0.7 * random.f64().powi(3));
+            host.applied_position = host.applied_position.max(now - 0.7 * random.f64().powi(3));
         }
         match random.u32(..50) {
             0..=1 => {
@@ -145,15 +147,16 @@
     }
 
     fn promote(&mut self, index: usize, now: f64) {
-        self.0[index].applied = now;
+        self.0[index].applied_position = now;
         let group = self.0[index].entry.group;
         for (other, host) in self.0.iter_mut().enumerate().filter(|(_, host)| host.entry.group == group) {
             host.is_primary = other == index;
         }
     }
 
-    /// What discovery says next: the status, role, start or group of an endpoint, the whole list, or nothing.
-    pub fn list_update(&mut self, now: f64, random: &mut fastrand::Rng) -> Event {
+    /// May change the status, role, start or group of a random endpoint. Returns its entry or the complete
+    /// list as an update, or a failure of the watch.
+    pub fn random_list_update(&mut self, now: f64, random: &mut fastrand::Rng) -> Event {
         let kind = match random.u32(..10) {
             0 => None,
             1..=2 => Some(UpdateKind::Snapshot),
@@ -176,7 +179,7 @@
         let Some(kind) = kind else { return Event::WatchFailed };
         let endpoints = match kind {
             UpdateKind::Delta => vec![host.entry.clone()],
-            UpdateKind::Snapshot | UpdateKind::Cached => self.listed(),
+            UpdateKind::Snapshot | UpdateKind::Cached => self.list_entries(),
         };
         Event::EndpointsUpdated { kind, endpoints }
     }
--- a/tests/policy/settings.rs
+++ b/tests/policy/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::harness::{default_settings, secs};
 
-/// The field that the policy rejects after this change to valid settings.
+/// Returns the field that the policy rejects after a change to valid settings.
 fn rejected_field(change: fn(&mut Settings)) -> Option<String> {
     let mut settings = default_settings();
     change(&mut settings);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn settings_out_of_range_are_rejected_by_name() {
+fn a_setting_out_of_range_is_rejected_with_its_name() {
     assert_eq!(rejected_field(|_| ()), None);
     type Change = fn(&mut Settings);
     let cases: [(Change, &str); 9] = [
