--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -9,7 +9,7 @@
 
 use super::exchange::Exchange;
 use super::reply::{Reply, ReplyError, ReplyStatus};
-use super::state::{Expiry, State, WriteStatus};
+use super::state::{ConnectionState, ExpiryResult, WriteStatus};
 use crate::interface::{EndpointId, Outcome};
 use crate::net::buffer::{MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
 use crate::net::postgres::{self, sqlstate, BackendMessage, BackendMessageKind};
@@ -19,26 +19,26 @@
 const USER: &str = "app";
 const DATABASE: &str = "shop";
 
-/// Maximum by which the timeout stated in a query may exceed the time that its client still waits when the
-/// endpoint receives it. With a larger excess the endpoint would work for a client that no longer waits.
+/// When an endpoint receives a query, the timeout stated in the query may exceed the time that the client
+/// still waits by at most this much. Otherwise the endpoint would work for a client that no longer waits.
 const MAX_TIMEOUT_EXCESS: Duration = Duration::from_millis(150);
 /// The part of [`MAX_TIMEOUT_EXCESS`] reserved for transmission from the socket to the endpoint.
 const TRANSMISSION_MARGIN: Duration = Duration::from_millis(50);
-/// Maximum time of a query in the output buffer.
+/// Maximum time that a query may stay in the output buffer.
 const QUERY_WRITE_TIMEOUT: Duration = MAX_TIMEOUT_EXCESS.saturating_sub(TRANSMISSION_MARGIN);
 
-/// Progress of an exchange.
+/// Status of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Progress {
-    /// The exchange waits for the peer.
+pub(super) enum ExchangeStatus {
+    /// The exchange waits for the endpoint.
     Pending,
     /// The reply is complete and the connection can be reused.
     Done,
     /// The exchange ended with this outcome and the connection must be closed. Also used when the pooler
     /// cancels the exchange, since the rest of the reply is not read.
     Failed(Outcome),
-    /// The exchange ended with this outcome because the peer sent data that is not part of a valid reply. The
-    /// connection must be closed.
+    /// The exchange ended with this outcome because the endpoint sent data that is not part of a valid reply.
+    /// The connection must be closed.
     Malformed(Outcome),
 }
 
@@ -50,7 +50,7 @@
 }
 
 /// A connection to an endpoint.
-pub(super) struct Connection {
+pub(super) struct BackendConnection {
     endpoint: EndpointId,
     /// Address of the endpoint when the connection was opened.
     address: SocketAddr,
@@ -61,14 +61,14 @@
     connect_timeout: Duration,
     /// Deadline of the current state.
     state_deadline: Instant,
-    state: State,
+    state: ConnectionState,
     input: RingBuffer,
     output: RingBuffer,
     /// Memory reservation for the value of the reply.
     value_memory: MemoryReservation,
 }
 
-impl Connection {
+impl BackendConnection {
     /// Creates a connection for `exchange` whose stream is still being established.
     pub fn new(
         endpoint: EndpointId,
@@ -77,14 +77,14 @@
         exchange: Exchange,
         connect_timeout: Duration,
         budget: &MemoryBudget,
-    ) -> Connection {
-        Connection {
+    ) -> BackendConnection {
+        BackendConnection {
             endpoint,
             address,
             stream,
             connect_timeout,
             state_deadline: (exchange.started_at() + connect_timeout).min(exchange.deadline()),
-            state: State::Connecting(exchange),
+            state: ConnectionState::Connecting(exchange),
             input: RingBuffer::new(budget),
             output: RingBuffer::new(budget),
             value_memory: budget.reservation(),
@@ -120,9 +120,9 @@
     /// Returns whether the connection has an exchange whose query is not completely written.
     pub fn has_unsent_query(&self) -> bool {
         match self.state {
-            State::Connecting(_) | State::Starting(_) => true,
-            State::Busy { .. } => self.write_status() == WriteStatus::Pending,
-            State::Idle => false,
+            ConnectionState::Connecting(_) | ConnectionState::Starting(_) => true,
+            ConnectionState::Busy { .. } => self.write_status() == WriteStatus::Pending,
+            ConnectionState::Idle => false,
         }
     }
 
@@ -144,10 +144,10 @@
     }
 
     /// Starts an exchange on an idle connection.
-    pub fn start(&mut self, exchange: Exchange, now: Instant) -> Progress {
+    pub fn start(&mut self, exchange: Exchange, now: Instant) -> ExchangeStatus {
         match self.send_query(exchange, now) {
-            Progress::Pending => self.run_cycle(now),
-            progress => progress,
+            ExchangeStatus::Pending => self.run_cycle(now),
+            status => status,
         }
     }
 
@@ -165,48 +165,48 @@
         Some(finished)
     }
 
-    /// Reads, processes and writes as far as possible without blocking. Once a reply has started, the rest is
-    /// due within the connect timeout: a reply may announce more data than the endpoint ever sends.
-    pub fn run_cycle(&mut self, now: Instant) -> Progress {
-        let progress = self.advance(now);
+    /// Reads, processes and writes until the connection would block. Once a reply has started, the rest must
+    /// arrive within the connect timeout: a reply may announce more data than the endpoint ever sends.
+    pub fn run_cycle(&mut self, now: Instant) -> ExchangeStatus {
+        let status = self.process_io(now);
         let has_unread_input = self.has_unread_input();
-        if let State::Busy { reply, reply_started, .. } = &mut self.state {
+        if let ConnectionState::Busy { reply, reply_started, .. } = &mut self.state {
             if !*reply_started && (reply.has_started() || has_unread_input) {
                 *reply_started = true;
                 self.state_deadline = self.state_deadline.min(now + self.connect_timeout);
             }
         }
-        progress
+        status
     }
 
     /// Returns how the exchange ends now that the deadline of the current state has passed.
-    pub fn expire(&mut self, now: Instant) -> Progress {
-        match self.state.expiry(now, self.connect_timeout, self.write_status()) {
-            Expiry::ReplyStalled => self.reject_malformed(),
-            Expiry::Failed(outcome) => Progress::Failed(outcome),
+    pub fn expire(&mut self, now: Instant) -> ExchangeStatus {
+        match self.state.expiry_result(now, self.connect_timeout, self.write_status()) {
+            ExpiryResult::ReplyStalled => self.reject_malformed(),
+            ExpiryResult::Failed(outcome) => ExchangeStatus::Failed(outcome),
         }
     }
 
-    /// Reads, processes and writes until the connection must wait for the peer or the exchange ends.
-    fn advance(&mut self, now: Instant) -> Progress {
-        if matches!(self.state, State::Connecting(_)) {
+    /// Reads, processes and writes until the connection would block or the exchange ends.
+    fn process_io(&mut self, now: Instant) -> ExchangeStatus {
+        if matches!(self.state, ConnectionState::Connecting(_)) {
             match self.finish_connecting() {
                 ConnectStatus::Established => {}
-                ConnectStatus::Pending => return Progress::Pending,
-                ConnectStatus::Failed => return Progress::Failed(Outcome::ConnectFailed),
+                ConnectStatus::Pending => return ExchangeStatus::Pending,
+                ConnectStatus::Failed => return ExchangeStatus::Failed(Outcome::ConnectFailed),
             }
         }
         loop {
-            if let Err(progress) = self.write_output(now) {
-                return progress;
+            if let Err(status) = self.write_output(now) {
+                return status;
             }
             // Data received before a reset is still processed.
             let read = self.input.read_from(&mut self.stream).unwrap_or(ReadStatus::EndOfStream);
             let unprocessed = self.input.len();
             let was_starting = self.state.is_starting();
-            let progress = self.process_messages(now);
-            if progress != Progress::Pending {
-                return progress;
+            let status = self.process_messages(now);
+            if status != ExchangeStatus::Pending {
+                return status;
             }
             if read == ReadStatus::EndOfStream {
                 return self.connection_lost();
@@ -216,20 +216,20 @@
             let can_read_more = read == ReadStatus::Full && self.input.len() != unprocessed;
             let query_queued = was_starting && !self.state.is_starting();
             if !can_read_more && !query_queued {
-                return Progress::Pending;
+                return ExchangeStatus::Pending;
             }
         }
     }
 
-    /// Writes as much as possible. A query that was not completely written by its write deadline must not be
-    /// written any more. Once it is written, the deadline of the exchange applies instead.
-    fn write_output(&mut self, now: Instant) -> Result<(), Progress> {
+    /// Writes the output until the socket would block. Fails if the query was not completely written by its
+    /// write deadline. Once it is written, the deadline of the exchange applies instead.
+    fn write_output(&mut self, now: Instant) -> Result<(), ExchangeStatus> {
         let is_query_waiting = self.state.is_busy() && self.write_status() == WriteStatus::Pending;
         if is_query_waiting && now >= self.state_deadline {
-            return Err(Progress::Failed(Outcome::ConnectFailed));
+            return Err(ExchangeStatus::Failed(Outcome::ConnectFailed));
         }
         self.output.write_to(&mut self.stream).map_err(|_| self.connection_lost())?;
-        if let State::Busy { exchange, reply_started: false, .. } = &self.state {
+        if let ConnectionState::Busy { exchange, reply_started: false, .. } = &self.state {
             if is_query_waiting && self.write_status() == WriteStatus::Written {
                 self.state_deadline = exchange.deadline();
             }
@@ -249,7 +249,7 @@
         // An error is ignored: without TCP_NODELAY the connection is slower but works.
         let _ = self.stream.set_nodelay(true);
         if let Some((exchange, _)) = self.take_exchange() {
-            self.state = State::Starting(exchange);
+            self.state = ConnectionState::Starting(exchange);
         }
         match self.output.push(&postgres::startup_message(USER, DATABASE)) {
             Ok(()) => ConnectStatus::Established,
@@ -259,82 +259,84 @@
 
     /// Queues the query of an exchange. Fails, with none of the query sent, if the deadline has passed or the
     /// buffer capacity is exhausted.
-    fn send_query(&mut self, exchange: Exchange, now: Instant) -> Progress {
+    fn send_query(&mut self, exchange: Exchange, now: Instant) -> ExchangeStatus {
         let is_expired = now >= exchange.deadline();
         let query = exchange.query_message(now);
         self.state_deadline = exchange.deadline().min(now + QUERY_WRITE_TIMEOUT);
-        self.state = State::busy(exchange);
+        self.state = ConnectionState::busy(exchange);
         if is_expired {
-            return Progress::Failed(Outcome::NotSent);
+            return ExchangeStatus::Failed(Outcome::NotSent);
         }
         match self.output.push(&query) {
-            Ok(()) => Progress::Pending,
-            Err(_) => Progress::Failed(Outcome::NotSent),
+            Ok(()) => ExchangeStatus::Pending,
+            Err(_) => ExchangeStatus::Failed(Outcome::NotSent),
         }
     }
 
     /// Processes all complete messages in the input buffer.
-    fn process_messages(&mut self, now: Instant) -> Progress {
+    fn process_messages(&mut self, now: Instant) -> ExchangeStatus {
         loop {
             let message = match postgres::read_backend_message(&mut self.input) {
                 Ok(Some(message)) => message,
-                Ok(None) => return Progress::Pending,
+                Ok(None) => return ExchangeStatus::Pending,
                 Err(_) => return self.reject_malformed(),
             };
-            let progress = self.process_message(&message, now);
-            if progress != Progress::Pending {
-                return progress;
+            let status = self.process_message(&message, now);
+            if status != ExchangeStatus::Pending {
+                return status;
             }
         }
     }
 
     /// Processes one message according to the current state.
-    fn process_message(&mut self, message: &BackendMessage, now: Instant) -> Progress {
+    fn process_message(&mut self, message: &BackendMessage, now: Instant) -> ExchangeStatus {
         if matches!(message.kind, BackendMessageKind::NoticeResponse | BackendMessageKind::BackendKeyData) {
-            return Progress::Pending;
+            return ExchangeStatus::Pending;
         }
         match &mut self.state {
-            State::Connecting(_) => self.reject_malformed(),
-            State::Starting(_) => self.process_startup_message(message, now),
-            State::Idle if message.kind == BackendMessageKind::ParameterStatus => Progress::Pending,
-            State::Idle => self.reject_malformed(),
-            State::Busy { exchange, reply, .. } => {
+            ConnectionState::Connecting(_) => self.reject_malformed(),
+            ConnectionState::Starting(_) => self.process_startup_message(message, now),
+            ConnectionState::Idle if message.kind == BackendMessageKind::ParameterStatus => {
+                ExchangeStatus::Pending
+            }
+            ConnectionState::Idle => self.reject_malformed(),
+            ConnectionState::Busy { exchange, reply, .. } => {
                 match reply.add_message(message, exchange.task(), &mut self.value_memory) {
-                    Ok(ReplyStatus::Incomplete) => Progress::Pending,
-                    Ok(ReplyStatus::ReadyForQuery) => Progress::Done,
+                    Ok(ReplyStatus::Incomplete) => ExchangeStatus::Pending,
+                    Ok(ReplyStatus::ReadyForQuery) => ExchangeStatus::Done,
                     Ok(ReplyStatus::FatalError) => self.connection_lost(),
                     Err(ReplyError::UnexpectedMessage) => self.reject_malformed(),
-                    Err(ReplyError::OutOfMemory) => Progress::Failed(Outcome::Error),
+                    Err(ReplyError::OutOfMemory) => ExchangeStatus::Failed(Outcome::Error),
                 }
             }
         }
     }
 
     /// Processes a message of the startup phase. Queues the query once the session is ready.
-    fn process_startup_message(&mut self, message: &BackendMessage, now: Instant) -> Progress {
+    fn process_startup_message(&mut self, message: &BackendMessage, now: Instant) -> ExchangeStatus {
         match message.kind {
-            BackendMessageKind::ParameterStatus => Progress::Pending,
+            BackendMessageKind::ParameterStatus => ExchangeStatus::Pending,
             BackendMessageKind::Authentication if message.body == postgres::AUTHENTICATION_OK => {
-                Progress::Pending
+                ExchangeStatus::Pending
             }
-            BackendMessageKind::ErrorResponse => Progress::Failed(startup_error_outcome(&message.body)),
+            BackendMessageKind::ErrorResponse => ExchangeStatus::Failed(startup_error_outcome(&message.body)),
             BackendMessageKind::ReadyForQuery => match self.take_exchange() {
                 Some((exchange, _)) => self.send_query(exchange, now),
-                None => Progress::Failed(Outcome::NotSent),
+                None => ExchangeStatus::Failed(Outcome::NotSent),
             },
             _ => self.reject_malformed(),
         }
     }
 
     /// Returns how the exchange ends now that the connection is lost.
-    fn connection_lost(&self) -> Progress {
-        Progress::Failed(self.state.outcome_of_lost_connection(self.write_status()))
+    fn connection_lost(&self) -> ExchangeStatus {
+        ExchangeStatus::Failed(self.state.outcome_of_lost_connection(self.write_status()))
     }
 
-    /// Returns how the exchange ends now that the peer has sent data that is not part of a valid reply.
+    /// Returns how the exchange ends now that the endpoint has sent data that is not part of a valid reply.
     /// Discards the reply unless it proves that the request was not executed.
-    fn reject_malformed(&mut self) -> Progress {
-        Progress::Malformed(self.state.outcome_of_malformed_reply())
+    fn reject_malformed(&mut self) -> ExchangeStatus {
+        ExchangeStatus::Malformed(self.state.outcome_of_malformed_reply())
     }
 
     fn write_status(&self) -> WriteStatus {
@@ -346,7 +348,7 @@
     }
 }
 
-/// Returns the outcome of an exchange when the endpoint rejected the startup of the session.
+/// Returns the outcome of an exchange whose endpoint rejected the startup of the session.
 fn startup_error_outcome(body: &[u8]) -> Outcome {
     if postgres::parse_error_response(body).sqlstate == sqlstate::TOO_MANY_CONNECTIONS {
         Outcome::Overloaded
--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -23,14 +23,14 @@
 
 /// Returns a connection that has started its session at `started_at`, and the socket of its endpoint, which
 /// reads nothing more.
-fn connection_with_blocked_query(started_at: Instant) -> (Connection, std::net::TcpStream) {
+fn connection_with_blocked_query(started_at: Instant) -> (BackendConnection, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&listener).set_recv_buffer_size(SOCKET_BUFFER).unwrap();
     let address = listener.local_addr().unwrap();
     let stream = TcpStream::connect(address).unwrap();
     socket2::SockRef::from(&stream).set_send_buffer_size(SOCKET_BUFFER).unwrap();
     let budget = MemoryBudget::new(1_000_000);
-    let mut connection = Connection::new(
+    let mut connection = BackendConnection::new(
         "db-1".into(),
         address,
         stream,
@@ -40,13 +40,13 @@
     );
     let (mut endpoint, _) = listener.accept().unwrap();
     while !connection.state.is_starting() {
-        assert_eq!(connection.run_cycle(started_at), Progress::Pending);
+        assert_eq!(connection.run_cycle(started_at), ExchangeStatus::Pending);
     }
     let startup_length = postgres::startup_message(USER, DATABASE).len();
     endpoint.read_exact(&mut vec![0; startup_length]).unwrap();
     endpoint.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").unwrap();
     while connection.state.is_starting() {
-        assert_eq!(connection.run_cycle(started_at), Progress::Pending);
+        assert_eq!(connection.run_cycle(started_at), ExchangeStatus::Pending);
     }
     assert!(!connection.has_empty_buffers(), "the query should not fit into the socket buffers");
     (connection, endpoint)
@@ -60,7 +60,7 @@
     let (mut connection, _endpoint) = connection_with_blocked_query(started_at);
     assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "the write deadline is too late");
     let expired = connection.expire(started_at + DEADLINE_SLACK);
-    assert_eq!(expired, Progress::Failed(Outcome::ConnectFailed));
+    assert_eq!(expired, ExchangeStatus::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
@@ -69,7 +69,7 @@
     let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     let late = started_at + 2 * DEADLINE_SLACK;
-    assert_eq!(connection.run_cycle(late), Progress::Failed(Outcome::ConnectFailed));
+    assert_eq!(connection.run_cycle(late), ExchangeStatus::Failed(Outcome::ConnectFailed));
 }
 
 #[test]
@@ -78,7 +78,7 @@
     let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
     while !connection.has_empty_buffers() {
-        assert_eq!(connection.run_cycle(started_at), Progress::Pending);
+        assert_eq!(connection.run_cycle(started_at), ExchangeStatus::Pending);
     }
     assert_eq!(connection.state_deadline, started_at + TIMEOUT);
 }
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -27,7 +27,7 @@
 use crate::endpoint_list::ListedEndpoint;
 use crate::interface::{EndpointId, Outcome, UpdateKind};
 use connect_error::ConnectError;
-use connection::{Connection, Progress};
+use connection::{BackendConnection, ExchangeStatus};
 use exchange::Exchange;
 use pool::Pool;
 use reply::Reply;
@@ -73,7 +73,7 @@
     ) {
         let no_longer_serving = self.pool.update_endpoints(kind, endpoints, context.reactor.now());
         for id in self.pool.connections_with_unsent_query(&no_longer_serving) {
-            self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
+            self.handle_status(id, ExchangeStatus::Failed(Outcome::NotSent), context);
         }
     }
 
@@ -96,9 +96,9 @@
         let exchange = Exchange::new(task, now, timeout);
         if let Some(id) = self.pool.take_idle(endpoint) {
             if let Some(connection) = self.pool.get_mut(id) {
-                let progress = connection.start(exchange, now);
+                let status = connection.start(exchange, now);
                 context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
-                self.handle_progress(id, progress, context);
+                self.handle_status(id, status, context);
                 return Some(id);
             }
         }
@@ -119,8 +119,14 @@
             }
         };
         context.counters.backend_connects += 1;
-        let connection =
-            Connection::new(endpoint.clone(), address, stream, exchange, self.connect_timeout, &self.budget);
+        let connection = BackendConnection::new(
+            endpoint.clone(),
+            address,
+            stream,
+            exchange,
+            self.connect_timeout,
+            &self.budget,
+        );
         let id = self.pool.insert(connection);
         self.register(id, context);
         Some(id)
@@ -142,7 +148,7 @@
         context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
         if connection.register(id, &mut context.reactor).is_err() {
             // A local resource shortage is not attributed to the endpoint.
-            self.handle_progress(id, Progress::Failed(Outcome::NotSent), context);
+            self.handle_status(id, ExchangeStatus::Failed(Outcome::NotSent), context);
         }
     }
 
@@ -151,11 +157,11 @@
         let now = context.reactor.now();
         let Some(connection) = self.pool.get_mut(id) else { return };
         let previous_deadline = connection.state_deadline();
-        let progress = connection.run_cycle(now);
+        let status = connection.run_cycle(now);
         if connection.state_deadline() != previous_deadline {
             context.reactor.set_timer(connection.state_deadline(), TimerEvent::Backend(id));
         }
-        self.handle_progress(id, progress, context);
+        self.handle_status(id, status, context);
     }
 
     /// Handles an expired timer of a connection.
@@ -171,8 +177,8 @@
             return;
         }
         let Some(connection) = self.pool.get_mut(id) else { return };
-        let progress = connection.expire(now);
-        self.handle_progress(id, progress, context);
+        let status = connection.expire(now);
+        self.handle_status(id, status, context);
     }
 
     /// Returns whether the connection exists and the deadline of its state has passed.
@@ -183,7 +189,7 @@
     /// Cancels the task on a connection by closing the connection, as after a failure. The endpoint gets no
     /// other notice, such as a CancelRequest.
     pub fn cancel(&mut self, id: ConnectionId, context: &mut Context) {
-        self.handle_progress(id, Progress::Failed(Outcome::Cancelled), context);
+        self.handle_status(id, ExchangeStatus::Failed(Outcome::Cancelled), context);
     }
 
     /// Cancels the task on a connection if its query is not completely written.
@@ -193,12 +199,12 @@
         }
     }
 
-    fn handle_progress(&mut self, id: ConnectionId, progress: Progress, context: &mut Context) {
-        match progress {
-            Progress::Pending => {}
-            Progress::Done => self.finish_exchange(id, context),
-            Progress::Failed(outcome) => self.close(id, outcome, context),
-            Progress::Malformed(outcome) => {
+    fn handle_status(&mut self, id: ConnectionId, status: ExchangeStatus, context: &mut Context) {
+        match status {
+            ExchangeStatus::Pending => {}
+            ExchangeStatus::Done => self.finish_exchange(id, context),
+            ExchangeStatus::Failed(outcome) => self.close(id, outcome, context),
+            ExchangeStatus::Malformed(outcome) => {
                 self.count_malformed(id, context);
                 self.close(id, outcome, context);
             }
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use super::connection::Connection;
+use super::connection::BackendConnection;
 use crate::endpoint_list::ListedEndpoint;
 use crate::interface::{EndpointId, EndpointStatus, UpdateKind};
 use crate::net::reactor::{ConnectionId, ConnectionTable};
@@ -20,7 +20,7 @@
     address: SocketAddr,
     /// When the endpoint last started; `None` if long ago.
     started_at: Option<ClusterInstant>,
-    /// When an update last contained the endpoint, whatever its status.
+    /// When an update last contained the endpoint, with any status.
     last_listed_at: Instant,
     /// Whether the endpoint was removed from the endpoint list.
     is_removed: bool,
@@ -42,7 +42,7 @@
         }
     }
 
-    fn close_idle_connections(&mut self, connections: &mut ConnectionTable<Connection>) {
+    fn close_idle_connections(&mut self, connections: &mut ConnectionTable<BackendConnection>) {
         for id in self.idle.drain(..) {
             connections.remove(id);
         }
@@ -52,7 +52,7 @@
 /// All connections to endpoints.
 pub(super) struct Pool {
     endpoints: HashMap<EndpointId, PooledEndpoint>,
-    connections: ConnectionTable<Connection>,
+    connections: ConnectionTable<BackendConnection>,
     max_connections: usize,
 }
 
@@ -64,7 +64,7 @@
 
     /// Applies an update of the endpoint list and returns the endpoints that stopped serving with it. Closes
     /// idle connections to endpoints that have a new address, have restarted, drain or were removed: an
-    /// endpoint that was cut off from the network leaves its connections open without ever answering.
+    /// endpoint that was cut off from the network leaves its connections open but never answers.
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
@@ -131,7 +131,7 @@
 
     /// Returns the connections to these endpoints whose query is not completely sent.
     pub fn connections_with_unsent_query(&self, endpoints: &HashSet<EndpointId>) -> Vec<ConnectionId> {
-        let is_unsent = |connection: &Connection| {
+        let is_unsent = |connection: &BackendConnection| {
             connection.has_unsent_query() && endpoints.contains(connection.endpoint())
         };
         let unsent = self.connections.iter().filter(|(_, connection)| is_unsent(connection));
@@ -149,7 +149,8 @@
         self.endpoints.get(endpoint).map(|endpoint| endpoint.address)
     }
 
-    /// Takes the most recently used idle connection to an endpoint. Closes connections found to be unusable.
+    /// Takes the most recently used idle connection to an endpoint. Closes unusable connections that it
+    /// finds.
     pub fn take_idle(&mut self, endpoint: &EndpointId) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(id) = endpoint.idle.pop() {
@@ -178,13 +179,13 @@
         }
     }
 
-    /// Ensures that one more connection can be opened, by closing an idle one if necessary. Returns false if
-    /// all connections are in use.
+    /// Ensures that one more connection can be opened, by closing an idle one if necessary. Returns `false`
+    /// if all connections are in use.
     pub fn ensure_capacity(&mut self) -> bool {
         self.connections.len() < self.max_connections || self.evict_idle()
     }
 
-    /// Closes the idle connection that would expire first. Returns false if no connection is idle.
+    /// Closes the idle connection that would expire first. Returns `false` if no connection is idle.
     fn evict_idle(&mut self) -> bool {
         let next_to_expire = self
             .connections
@@ -196,17 +197,17 @@
     }
 
     /// Adds a connection in use.
-    pub fn insert(&mut self, connection: Connection) -> ConnectionId {
+    pub fn insert(&mut self, connection: BackendConnection) -> ConnectionId {
         self.connections.insert(connection)
     }
 
     /// Returns the connection with this ID, unless it was removed.
-    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut BackendConnection> {
         self.connections.get_mut(id)
     }
 
     /// Removes a connection from the pool, whether idle or in use.
-    pub fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
+    pub fn remove(&mut self, id: ConnectionId) -> Option<BackendConnection> {
         let connection = self.connections.remove(id)?;
         if let Some(endpoint) = self.endpoints.get_mut(connection.endpoint()) {
             endpoint.idle.retain(|idle| *idle != id);
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -7,7 +7,7 @@
 use crate::interface::Outcome;
 
 /// State of a connection.
-pub(super) enum State {
+pub(super) enum ConnectionState {
     /// The TCP connection is being established.
     Connecting(Exchange),
     /// The startup message is queued or sent and the session is not ready yet.
@@ -34,42 +34,44 @@
     Written,
 }
 
-/// How an exchange ends when its connection stays in a state past the deadline.
+/// How an exchange ends when the deadline of the connection state has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Expiry {
+pub(super) enum ExpiryResult {
     /// The reply started but did not complete in time; it is treated as malformed.
     ReplyStalled,
     /// The exchange ends with this outcome.
     Failed(Outcome),
 }
 
-impl State {
+impl ConnectionState {
     /// Returns the state at the start of an exchange, before its query is sent.
-    pub fn busy(exchange: Exchange) -> State {
-        State::Busy { exchange, reply: Reply::default(), reply_started: false }
+    pub fn busy(exchange: Exchange) -> ConnectionState {
+        ConnectionState::Busy { exchange, reply: Reply::default(), reply_started: false }
     }
 
     /// Returns whether the connection is ready for an exchange.
     pub fn is_idle(&self) -> bool {
-        matches!(self, State::Idle)
+        matches!(self, ConnectionState::Idle)
     }
 
     /// Returns whether a query is queued or sent.
     pub fn is_busy(&self) -> bool {
-        matches!(self, State::Busy { .. })
+        matches!(self, ConnectionState::Busy { .. })
     }
 
     /// Returns whether the session is being started.
     pub fn is_starting(&self) -> bool {
-        matches!(self, State::Starting(_))
+        matches!(self, ConnectionState::Starting(_))
     }
 
     /// Switches to `Idle` and returns the exchange, if any, with the part of its reply received so far.
     pub fn take_exchange(&mut self) -> Option<(Exchange, Reply)> {
-        match std::mem::replace(self, State::Idle) {
-            State::Connecting(exchange) | State::Starting(exchange) => Some((exchange, Reply::default())),
-            State::Busy { exchange, reply, .. } => Some((exchange, reply)),
-            State::Idle => None,
+        match std::mem::replace(self, ConnectionState::Idle) {
+            ConnectionState::Connecting(exchange) | ConnectionState::Starting(exchange) => {
+                Some((exchange, Reply::default()))
+            }
+            ConnectionState::Busy { exchange, reply, .. } => Some((exchange, reply)),
+            ConnectionState::Idle => None,
         }
     }
 
@@ -77,21 +79,21 @@
     /// before its last byte was sent; after that it may have been, unless the reply proves otherwise.
     pub fn outcome_of_lost_connection(&self, query: WriteStatus) -> Outcome {
         match self {
-            State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
-            State::Busy { .. } if query == WriteStatus::Pending => Outcome::ConnectFailed,
-            State::Busy { reply, .. } => reply.outcome().unwrap_or(Outcome::ConnectionReset),
+            ConnectionState::Connecting(_) | ConnectionState::Starting(_) => Outcome::ConnectFailed,
+            ConnectionState::Busy { .. } if query == WriteStatus::Pending => Outcome::ConnectFailed,
+            ConnectionState::Busy { reply, .. } => reply.outcome().unwrap_or(Outcome::ConnectionReset),
             // Never reported: there is no exchange.
-            State::Idle => Outcome::ConnectionReset,
+            ConnectionState::Idle => Outcome::ConnectionReset,
         }
     }
 
-    /// Returns the outcome of the exchange when the peer has sent data that is not part of a valid reply. The
-    /// reply is discarded and the request may have been executed, unless an error in the reply proves that it
-    /// was not.
+    /// Returns the outcome of the exchange when the endpoint has sent data that is not part of a valid reply.
+    /// The reply is discarded and the request may have been executed, unless an error in the reply proves
+    /// that it was not.
     pub fn outcome_of_malformed_reply(&mut self) -> Outcome {
         match self {
-            State::Connecting(_) | State::Starting(_) => Outcome::ConnectFailed,
-            State::Busy { reply, .. } => match reply.outcome() {
+            ConnectionState::Connecting(_) | ConnectionState::Starting(_) => Outcome::ConnectFailed,
+            ConnectionState::Busy { reply, .. } => match reply.outcome() {
                 Some(outcome) if outcome.proves_not_executed() => outcome,
                 _ => {
                     *reply = Reply::default();
@@ -99,24 +101,26 @@
                 }
             },
             // Never reported: there is no exchange.
-            State::Idle => Outcome::Error,
+            ConnectionState::Idle => Outcome::Error,
         }
     }
 
     /// Returns how the exchange ends when the deadline of the state has passed.
-    pub fn expiry(&self, now: Instant, connect_timeout: Duration, query: WriteStatus) -> Expiry {
+    pub fn expiry_result(&self, now: Instant, connect_timeout: Duration, query: WriteStatus) -> ExpiryResult {
         match self {
-            State::Connecting(exchange) | State::Starting(exchange) => {
+            ConnectionState::Connecting(exchange) | ConnectionState::Starting(exchange) => {
                 if now >= exchange.started_at() + connect_timeout {
-                    Expiry::Failed(Outcome::ConnectFailed)
+                    ExpiryResult::Failed(Outcome::ConnectFailed)
                 } else {
-                    Expiry::Failed(Outcome::Timeout)
+                    ExpiryResult::Failed(Outcome::Timeout)
                 }
             }
-            State::Busy { .. } if query == WriteStatus::Pending => Expiry::Failed(Outcome::ConnectFailed),
-            State::Busy { reply_started: true, .. } => Expiry::ReplyStalled,
+            ConnectionState::Busy { .. } if query == WriteStatus::Pending => {
+                ExpiryResult::Failed(Outcome::ConnectFailed)
+            }
+            ConnectionState::Busy { reply_started: true, .. } => ExpiryResult::ReplyStalled,
             // Never reported for `Idle`, which has no exchange.
-            State::Busy { .. } | State::Idle => Expiry::Failed(Outcome::Timeout),
+            ConnectionState::Busy { .. } | ConnectionState::Idle => ExpiryResult::Failed(Outcome::Timeout),
         }
     }
 }
--- a/src/net/backend/state/tests.rs
+++ b/src/net/backend/state/tests.rs
@@ -17,7 +17,7 @@
 }
 
 /// Returns a busy state whose reply is an ErrorResponse with this code, or empty.
-fn busy(error_code: Option<&str>, reply_started: bool) -> State {
+fn busy(error_code: Option<&str>, reply_started: bool) -> ConnectionState {
     let mut reply = Reply::default();
     let mut value_memory = MemoryBudget::new(0).reservation();
     if let Some(code) = error_code {
@@ -25,12 +25,12 @@
         let error = BackendMessage { kind: BackendMessageKind::ErrorResponse, body };
         reply.add_message(&error, &Task::HealthCheck, &mut value_memory).unwrap();
     }
-    State::Busy { exchange: exchange(), reply, reply_started }
+    ConnectionState::Busy { exchange: exchange(), reply, reply_started }
 }
 
 #[rstest]
-#[case::connecting(State::Connecting(exchange()), WriteStatus::Written, Outcome::ConnectFailed)]
-#[case::starting(State::Starting(exchange()), WriteStatus::Written, Outcome::ConnectFailed)]
+#[case::connecting(ConnectionState::Connecting(exchange()), WriteStatus::Written, Outcome::ConnectFailed)]
+#[case::starting(ConnectionState::Starting(exchange()), WriteStatus::Written, Outcome::ConnectFailed)]
 #[case::query_not_sent(busy(None, false), WriteStatus::Pending, Outcome::ConnectFailed)]
 #[case::query_not_sent_despite_an_error(
     busy(Some("53300"), true),
@@ -40,7 +40,7 @@
 #[case::query_sent(busy(None, false), WriteStatus::Written, Outcome::ConnectionReset)]
 #[case::error_received(busy(Some("25006"), true), WriteStatus::Written, Outcome::Ineligible)]
 fn after_a_lost_connection_only_a_sent_query_may_have_been_executed(
-    #[case] state: State,
+    #[case] state: ConnectionState,
     #[case] query: WriteStatus,
     #[case] outcome: Outcome,
 ) {
@@ -48,13 +48,13 @@
 }
 
 #[rstest]
-#[case::connecting(State::Connecting(exchange()), Outcome::ConnectFailed, false)]
-#[case::starting(State::Starting(exchange()), Outcome::ConnectFailed, false)]
+#[case::connecting(ConnectionState::Connecting(exchange()), Outcome::ConnectFailed, false)]
+#[case::starting(ConnectionState::Starting(exchange()), Outcome::ConnectFailed, false)]
 #[case::no_reply(busy(None, false), Outcome::Error, false)]
 #[case::an_error_that_proves_nothing(busy(Some("58000"), true), Outcome::Error, false)]
 #[case::an_error_that_proves_no_execution(busy(Some("53300"), true), Outcome::Overloaded, true)]
 fn a_malformed_reply_is_discarded_unless_it_proves_that_nothing_was_executed(
-    #[case] mut state: State,
+    #[case] mut state: ConnectionState,
     #[case] outcome: Outcome,
     #[case] reply_is_kept: bool,
 ) {
@@ -65,40 +65,45 @@
 
 #[rstest]
 #[case::connecting(
-    State::Connecting(exchange()),
+    ConnectionState::Connecting(exchange()),
     1000,
     WriteStatus::Written,
-    Expiry::Failed(Outcome::ConnectFailed)
+    ExpiryResult::Failed(Outcome::ConnectFailed)
 )]
 #[case::starting(
-    State::Starting(exchange()),
+    ConnectionState::Starting(exchange()),
     1000,
     WriteStatus::Written,
-    Expiry::Failed(Outcome::ConnectFailed)
+    ExpiryResult::Failed(Outcome::ConnectFailed)
 )]
 #[case::starting_at_an_earlier_deadline(
-    State::Starting(exchange()),
+    ConnectionState::Starting(exchange()),
     500,
     WriteStatus::Written,
-    Expiry::Failed(Outcome::Timeout)
+    ExpiryResult::Failed(Outcome::Timeout)
 )]
-#[case::query_not_sent(busy(None, true), 5000, WriteStatus::Pending, Expiry::Failed(Outcome::ConnectFailed))]
-#[case::no_reply(busy(None, false), 5000, WriteStatus::Written, Expiry::Failed(Outcome::Timeout))]
-#[case::part_of_a_reply(busy(None, true), 5000, WriteStatus::Written, Expiry::ReplyStalled)]
-#[case::idle(State::Idle, 5000, WriteStatus::Written, Expiry::Failed(Outcome::Timeout))]
+#[case::query_not_sent(
+    busy(None, true),
+    5000,
+    WriteStatus::Pending,
+    ExpiryResult::Failed(Outcome::ConnectFailed)
+)]
+#[case::no_reply(busy(None, false), 5000, WriteStatus::Written, ExpiryResult::Failed(Outcome::Timeout))]
+#[case::part_of_a_reply(busy(None, true), 5000, WriteStatus::Written, ExpiryResult::ReplyStalled)]
+#[case::idle(ConnectionState::Idle, 5000, WriteStatus::Written, ExpiryResult::Failed(Outcome::Timeout))]
 fn the_state_decides_how_an_exchange_expires(
-    #[case] state: State,
+    #[case] state: ConnectionState,
     #[case] elapsed_millis: u64,
     #[case] query: WriteStatus,
-    #[case] expiry: Expiry,
+    #[case] expiry: ExpiryResult,
 ) {
     let now = *STARTED_AT + Duration::from_millis(elapsed_millis);
-    assert_eq!(state.expiry(now, CONNECT_TIMEOUT, query), expiry);
+    assert_eq!(state.expiry_result(now, CONNECT_TIMEOUT, query), expiry);
 }
 
 #[test]
 fn taking_the_exchange_leaves_the_connection_idle() {
-    let mut state = State::busy(exchange());
+    let mut state = ConnectionState::busy(exchange());
     assert!(state.take_exchange().is_some());
     assert!(state.is_idle());
     assert!(state.take_exchange().is_none());
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -7,7 +7,7 @@
 
 use super::cycle::CycleContext;
 use super::deadline::ClientDeadline;
-use super::error::ConnectionClosed;
+use super::error::MustClose;
 use super::output::FlushStatus;
 use super::protocol_state::Phase;
 use super::service_status::ServiceStatus;
@@ -31,7 +31,7 @@
 }
 
 /// A client connection.
-pub(super) struct Connection {
+pub(super) struct ClientConnection {
     socket: ClientSocket,
     session: Session,
     deadline: ClientDeadline,
@@ -39,7 +39,7 @@
     cycle_scheduled: bool,
 }
 
-impl Connection {
+impl ClientConnection {
     /// Creates the connection of a client that was accepted at `now`. `client_read_timeout` is the time limit
     /// for reading its responses.
     pub(super) fn new(
@@ -48,8 +48,8 @@
         budget: &MemoryBudget,
         client_read_timeout: Duration,
         now: Instant,
-    ) -> Connection {
-        Connection {
+    ) -> ClientConnection {
+        ClientConnection {
             socket: ClientSocket::new(stream),
             session: Session::new(cancel_key, budget, now),
             deadline: ClientDeadline::new(client_read_timeout),
@@ -83,7 +83,7 @@
         id: ConnectionId,
         service: ServiceStatus,
         context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         self.socket.ensure_registered(id, &mut context.reactor);
         let now = context.reactor.now();
         let mut cycle = CycleContext { id, service, context };
@@ -111,7 +111,7 @@
 
     /// Processes the messages in the input one by one. Each is taken only after all previous responses are
     /// written, so that a client that sends without reading cannot use more memory than its buffers.
-    fn process_messages(&mut self, cycle: &mut CycleContext) -> Result<BatchStatus, ConnectionClosed> {
+    fn process_messages(&mut self, cycle: &mut CycleContext) -> Result<BatchStatus, MustClose> {
         for _ in 0..MAX_MESSAGES_PER_CYCLE {
             if self.flush()? != FlushStatus::Complete {
                 return Ok(BatchStatus::Blocked);
@@ -126,11 +126,7 @@
         Ok(BatchStatus::LimitReached)
     }
 
-    fn close_if_out_of_memory(
-        &mut self,
-        id: ConnectionId,
-        context: &mut Context,
-    ) -> Result<bool, ConnectionClosed> {
+    fn close_if_out_of_memory(&mut self, id: ConnectionId, context: &mut Context) -> Result<bool, MustClose> {
         let is_closing = self.session.close_if_out_of_memory(&mut context.counters)?;
         if is_closing {
             self.update_deadline(id, context);
@@ -145,7 +141,7 @@
         id: ConnectionId,
         now: Instant,
         context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         if self.session.discard_from(&mut self.socket)? {
             self.schedule_cycle(id, now, context);
         }
@@ -160,7 +156,7 @@
 
     /// Writes the output to the socket. Shuts down the sending direction of a closing connection once all
     /// output is written.
-    fn flush(&mut self) -> Result<FlushStatus, ConnectionClosed> {
+    fn flush(&mut self) -> Result<FlushStatus, MustClose> {
         let status = self.session.write_to(&mut self.socket)?;
         match status {
             // Only once: each shutdown raises an event, which would start cycles endlessly.
@@ -176,15 +172,12 @@
     }
 
     /// Appends the final response to the running query. The next cycle writes it.
-    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), MustClose> {
         self.session.add_response(response, now)
     }
 
     /// Appends the response to an empty query that waited for an endpoint. The next cycle writes it.
-    pub(super) fn add_response_to_waiting_empty_query(
-        &mut self,
-        now: Instant,
-    ) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), MustClose> {
         self.session.add_response_to_waiting_empty_query(now)
     }
 
@@ -199,7 +192,7 @@
         &mut self,
         id: ConnectionId,
         context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         self.session.close_timed_out(&mut context.counters)?;
         self.update_deadline(id, context);
         Ok(())
--- a/src/net/frontend/connection_limit.rs
+++ b/src/net/frontend/connection_limit.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpStream;
 
 use super::acceptor::AcceptStatus;
-use super::connection::Connection;
+use super::connection::ClientConnection;
 use super::connections::Capacity;
 use super::Frontend;
 use crate::net::{CancelKey, Context};
@@ -71,7 +71,8 @@
         let _ = stream.set_nodelay(true);
         let cancel_key = CancelKey { process_id: self.rng.u32(..), secret: self.rng.u32(..) };
         let now = context.reactor.now();
-        let connection = Connection::new(stream, cancel_key, &self.budget, self.client_read_timeout, now);
+        let connection =
+            ClientConnection::new(stream, cancel_key, &self.budget, self.client_read_timeout, now);
         let id = self.connections.insert(connection);
         context.counters.clients_accepted += 1;
         self.ready(id, context);
--- a/src/net/frontend/connections.rs
+++ b/src/net/frontend/connections.rs
@@ -1,7 +1,7 @@
 //! The open client connections and the connection limit: whether another one can be accepted, and which
 //! existing connection it replaces.
 
-use super::connection::Connection;
+use super::connection::ClientConnection;
 use super::protocol_state::Phase;
 use super::session::Session;
 use crate::net::reactor::{ConnectionId, ConnectionTable};
@@ -19,7 +19,7 @@
 
 /// The client connections, at most `limit` of them.
 pub(super) struct ClientConnections {
-    table: ConnectionTable<Connection>,
+    table: ConnectionTable<ClientConnection>,
     limit: usize,
 }
 
@@ -45,12 +45,12 @@
     }
 
     /// Returns the connection with this id, unless it was removed.
-    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
+    pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut ClientConnection> {
         self.table.get_mut(id)
     }
 
     /// Adds a connection. The caller must have checked the connection limit.
-    pub(super) fn insert(&mut self, connection: Connection) -> ConnectionId {
+    pub(super) fn insert(&mut self, connection: ClientConnection) -> ConnectionId {
         self.table.insert(connection)
     }
 
--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::arrivals::ArrivalTimes;
-use super::error::ConnectionClosed;
+use super::error::MustClose;
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
 use crate::net::postgres::{self, ClientMessage, FrameError, StartupRequest};
 
@@ -45,11 +45,11 @@
         &mut self,
         source: &mut impl Read,
         now: Instant,
-    ) -> Result<ReadStatus, ConnectionClosed> {
+    ) -> Result<ReadStatus, MustClose> {
         let received_before = self.buffer.total_received();
         let status = self.buffer.read_from(source)?;
         if status == ReadStatus::EndOfStream {
-            return Err(ConnectionClosed);
+            return Err(MustClose);
         }
         let received = self.buffer.total_received();
         self.arrival_times.record(received, self.buffer.total_consumed(), now);
@@ -61,10 +61,10 @@
 
     /// Reads at most one buffer of input and discards it. Returns whether more may be left in the source.
     /// Fails if the source has ended.
-    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
+    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, MustClose> {
         let status = self.buffer.read_from(source)?;
         if status == ReadStatus::EndOfStream {
-            return Err(ConnectionClosed);
+            return Err(MustClose);
         }
         let may_have_more = status == ReadStatus::Full && !self.buffer.is_empty();
         self.buffer.consume(self.buffer.len());
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -46,7 +46,7 @@
 use crate::counters::Counters;
 use acceptor::Acceptor;
 use connections::ClientConnections;
-use error::ConnectionClosed;
+use error::MustClose;
 use idle::{IdleConnection, IDLE_SWEEP_INTERVAL};
 use protocol_state::Phase;
 use service_status::ServiceStatus;
@@ -103,7 +103,7 @@
 
     /// Handles a connection that its client has closed. Unread input is discarded, except a cancel request.
     pub fn client_disconnected(&mut self, id: ConnectionId, context: &mut Context) {
-        self.finish_cycle(id, Err(ConnectionClosed), context);
+        self.finish_cycle(id, Err(MustClose), context);
     }
 
     /// Handles an expired timer of a connection: runs its next cycle if it was left to a timer, and closes
@@ -197,12 +197,7 @@
     /// Completes a cycle: closes the connection if it is drained during a shutdown, updates the client's
     /// deadline, removes the connection if it is closed, and accepts waiting connections if the connection
     /// limit may now allow them.
-    fn finish_cycle(
-        &mut self,
-        id: ConnectionId,
-        mut result: Result<(), ConnectionClosed>,
-        context: &mut Context,
-    ) {
+    fn finish_cycle(&mut self, id: ConnectionId, mut result: Result<(), MustClose>, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         let is_busy = connection.session().phase() == Phase::Busy;
         if self.service.is_draining() && result.is_ok() && connection.can_close() {
--- a/src/net/frontend/output.rs
+++ b/src/net/frontend/output.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-use super::error::ConnectionClosed;
+use super::error::MustClose;
 use crate::net::buffer::{MemoryBudget, RingBuffer};
 use crate::net::postgres::{self, sqlstate, Severity};
 use crate::net::{CancelKey, Response};
@@ -38,7 +38,7 @@
     }
 
     /// Writes as much as the sink accepts without blocking.
-    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, ConnectionClosed> {
+    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, MustClose> {
         let length_before = self.buffer.len();
         if self.buffer.write_to(sink)? {
             return Ok(FlushStatus::Complete);
@@ -48,27 +48,27 @@
     }
 
     /// Declines a request for encryption. The client may continue without it.
-    pub(super) fn push_encryption_declined(&mut self) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_encryption_declined(&mut self) -> Result<(), MustClose> {
         self.push(postgres::ENCRYPTION_NOT_SUPPORTED)
     }
 
     /// Confirms the start of the session and sends the client its cancel key.
-    pub(super) fn push_session_start(&mut self, cancel_key: CancelKey) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_session_start(&mut self, cancel_key: CancelKey) -> Result<(), MustClose> {
         self.push(&postgres::startup_response(cancel_key))
     }
 
     /// Informs the client that it may send the next query.
-    pub(super) fn push_ready_for_query(&mut self) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_ready_for_query(&mut self) -> Result<(), MustClose> {
         self.push(&postgres::ready_for_query())
     }
 
     /// Responds to an empty query.
-    pub(super) fn push_empty_query_response(&mut self) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_empty_query_response(&mut self) -> Result<(), MustClose> {
         self.push(&[postgres::empty_query_response(), postgres::ready_for_query()].concat())
     }
 
     /// Responds to a query.
-    pub(super) fn push_response(&mut self, response: Response) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_response(&mut self, response: Response) -> Result<(), MustClose> {
         match response {
             Response::Value(value) => self.push_value(value),
             Response::Rejected { retry_after } => {
@@ -83,7 +83,7 @@
     }
 
     /// Responds to a query or message with an error, after which the client may send the next query.
-    pub(super) fn push_error(&mut self, code: &str, message: &str) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_error(&mut self, code: &str, message: &str) -> Result<(), MustClose> {
         self.push_error_with_detail(code, message, None)
     }
 
@@ -94,7 +94,7 @@
         code: &str,
         message: &str,
         retry_after: Option<Duration>,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         let milliseconds = retry_after.map(|duration| duration.as_nanos().div_ceil(NANOS_PER_MILLISECOND));
         let detail = milliseconds.filter(|milliseconds| *milliseconds > 0).map(|number| number.to_string());
         self.push_error_with_detail(code, message, detail.as_deref())
@@ -102,20 +102,16 @@
 
     /// Responds to a message of the extended protocol with an error. ReadyForQuery follows only after the
     /// next Sync.
-    pub(super) fn push_error_until_sync(
-        &mut self,
-        code: &str,
-        message: &str,
-    ) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_error_until_sync(&mut self, code: &str, message: &str) -> Result<(), MustClose> {
         self.push(&postgres::error_response(Severity::Error, code, message, None))
     }
 
     /// Reports the error that causes the connection to be closed.
-    pub(super) fn push_fatal_error(&mut self, code: &str, message: &str) -> Result<(), ConnectionClosed> {
+    pub(super) fn push_fatal_error(&mut self, code: &str, message: &str) -> Result<(), MustClose> {
         self.push(&postgres::error_response(Severity::Fatal, code, message, None))
     }
 
-    fn push_value(&mut self, mut value: Vec<u8>) -> Result<(), ConnectionClosed> {
+    fn push_value(&mut self, mut value: Vec<u8>) -> Result<(), MustClose> {
         value.extend(postgres::ready_for_query());
         if self.buffer.push(&value).is_err() {
             // The client gets a response even if there is no memory for the value.
@@ -129,12 +125,12 @@
         code: &str,
         message: &str,
         detail: Option<&str>,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         let error = postgres::error_response(Severity::Error, code, message, detail);
         self.push(&[error, postgres::ready_for_query()].concat())
     }
 
-    fn push(&mut self, bytes: &[u8]) -> Result<(), ConnectionClosed> {
+    fn push(&mut self, bytes: &[u8]) -> Result<(), MustClose> {
         Ok(self.buffer.push(bytes)?)
     }
 }
--- a/src/net/frontend/output/tests.rs
+++ b/src/net/frontend/output/tests.rs
@@ -10,13 +10,13 @@
     Output::new(&MemoryBudget::new(MEMORY))
 }
 
-/// A sink that accepts `capacity` bytes and then would block.
-struct Sink {
+/// A writer that accepts `capacity` bytes, after which writes fail with `WouldBlock`.
+struct LimitedWriter {
     capacity: usize,
     written: Vec<u8>,
 }
 
-impl Write for Sink {
+impl Write for LimitedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let count = bytes.len().min(self.capacity);
         if count == 0 {
@@ -33,24 +33,24 @@
 }
 
 fn write_all(output: &mut Output) -> Vec<u8> {
-    let mut sink = Sink { capacity: MEMORY, written: Vec::new() };
-    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Complete);
-    sink.written
+    let mut writer = LimitedWriter { capacity: MEMORY, written: Vec::new() };
+    assert_eq!(output.write_to(&mut writer).unwrap(), FlushStatus::Complete);
+    writer.written
 }
 
 #[test]
 fn a_write_is_complete_partial_or_blocked() {
     let mut output = output();
     output.push_response(Response::Value(b"value".to_vec())).unwrap();
-    let mut sink = Sink { capacity: 0, written: Vec::new() };
-    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Blocked);
-    sink.capacity = 3;
-    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Partial);
+    let mut writer = LimitedWriter { capacity: 0, written: Vec::new() };
+    assert_eq!(output.write_to(&mut writer).unwrap(), FlushStatus::Blocked);
+    writer.capacity = 3;
+    assert_eq!(output.write_to(&mut writer).unwrap(), FlushStatus::Partial);
     assert!(!output.is_empty());
-    sink.capacity = MEMORY;
-    assert_eq!(output.write_to(&mut sink).unwrap(), FlushStatus::Complete);
+    writer.capacity = MEMORY;
+    assert_eq!(output.write_to(&mut writer).unwrap(), FlushStatus::Complete);
     assert!(output.is_empty());
-    assert_eq!(sink.written, [b"value", &*postgres::ready_for_query()].concat());
+    assert_eq!(writer.written, [b"value", &*postgres::ready_for_query()].concat());
 }
 
 #[rstest]
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::deadline::ExpectedAction;
-use super::error::ConnectionClosed;
+use super::error::MustClose;
 use super::input::Input;
 use super::output::{FlushStatus, Output};
 use super::protocol_state::{Phase, ProtocolState};
@@ -111,18 +111,18 @@
         &mut self,
         source: &mut impl Read,
         now: Instant,
-    ) -> Result<ReadStatus, ConnectionClosed> {
+    ) -> Result<ReadStatus, MustClose> {
         self.input.read_from(source, now)
     }
 
     /// Discards the available input, at most one buffer. Returns whether more may be left. Fails if the
     /// client has closed the connection.
-    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
+    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, MustClose> {
         self.input.discard_from(source)
     }
 
     /// Writes as much output as the sink accepts without blocking.
-    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, ConnectionClosed> {
+    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, MustClose> {
         self.output.write_to(sink)
     }
 
@@ -137,30 +137,27 @@
     }
 
     /// Appends the final response to the running query.
-    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), MustClose> {
         self.last_responded_at = now;
         self.state.finish_query();
         self.output.push_response(response)
     }
 
     /// Appends the response to an empty query that waited for an endpoint.
-    pub(super) fn add_response_to_waiting_empty_query(
-        &mut self,
-        now: Instant,
-    ) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), MustClose> {
         self.last_responded_at = now;
         self.add_response_to_empty_query()
     }
 
     /// Closes the session of a client that has missed its deadline. An incomplete message is answered with an
     /// error. Without pending input no error is sent, since it could be taken for the response to a query.
-    pub(super) fn close_timed_out(&mut self, counters: &mut Counters) -> Result<(), ConnectionClosed> {
+    pub(super) fn close_timed_out(&mut self, counters: &mut Counters) -> Result<(), MustClose> {
         if self.phase().is_closing() {
-            return Err(ConnectionClosed);
+            return Err(MustClose);
         }
         counters.client_timeouts += 1;
         if !self.output.is_empty() {
-            return Err(ConnectionClosed);
+            return Err(MustClose);
         }
         if !self.input.is_empty() {
             let message = "message not completed in time";
@@ -173,10 +170,7 @@
     /// Closes a session whose input buffer cannot grow to hold the rest of a message. Messages that exceed
     /// the maximum buffer size are rejected earlier, so the memory budget is exhausted, and the buffer would
     /// hold its share of it indefinitely. Returns whether the session is being closed.
-    pub(super) fn close_if_out_of_memory(
-        &mut self,
-        counters: &mut Counters,
-    ) -> Result<bool, ConnectionClosed> {
+    pub(super) fn close_if_out_of_memory(&mut self, counters: &mut Counters) -> Result<bool, MustClose> {
         let is_closing = self.phase().is_reading() && self.output.is_empty();
         if is_closing {
             self.close_with_error(sqlstate::OUT_OF_MEMORY, "no memory", counters)?;
@@ -195,7 +189,7 @@
         }
     }
 
-    fn add_response_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
+    fn add_response_to_empty_query(&mut self) -> Result<(), MustClose> {
         self.state.finish_empty_query();
         self.output.push_empty_query_response()
     }
@@ -206,7 +200,7 @@
         code: &str,
         message: &str,
         counters: &mut Counters,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         counters.malformed += 1;
         self.output.push_fatal_error(code, message)?;
         self.start_closing();
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -4,7 +4,7 @@
 
 use super::Session;
 use crate::net::frontend::cycle::CycleContext;
-use crate::net::frontend::error::ConnectionClosed;
+use crate::net::frontend::error::MustClose;
 use crate::net::frontend::protocol_state::Phase;
 use crate::net::postgres::{
     self, sqlstate, ClientMessage, ClientMessageKind, FrameError, ParsedQuery, StartupRequest,
@@ -33,7 +33,7 @@
     pub(in crate::net::frontend) fn process_next_message(
         &mut self,
         cycle: &mut CycleContext,
-    ) -> Result<MessageStatus, ConnectionClosed> {
+    ) -> Result<MessageStatus, MustClose> {
         match self.next_message() {
             Ok(None) => return Ok(MessageStatus::Blocked),
             Ok(Some(IncomingMessage::Startup(startup))) => self.process_startup(startup, cycle.context)?,
@@ -57,7 +57,7 @@
     }
 
     /// Reports a framing error to the client and closes its session.
-    fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), ConnectionClosed> {
+    fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), MustClose> {
         let code = match error {
             FrameError::Malformed => sqlstate::PROTOCOL_VIOLATION,
             FrameError::TooLong => sqlstate::PROGRAM_LIMIT_EXCEEDED,
@@ -65,11 +65,7 @@
         self.close_with_error(code, &error.to_string(), &mut context.counters)
     }
 
-    fn process_startup(
-        &mut self,
-        startup: StartupRequest,
-        context: &mut Context,
-    ) -> Result<(), ConnectionClosed> {
+    fn process_startup(&mut self, startup: StartupRequest, context: &mut Context) -> Result<(), MustClose> {
         match startup {
             StartupRequest::Encryption => self.output.push_encryption_declined(),
             StartupRequest::Session => {
@@ -79,7 +75,7 @@
             }
             StartupRequest::Cancel(key) => {
                 context.events.push_back(Event::CancelRequested(key));
-                Err(ConnectionClosed)
+                Err(MustClose)
             }
             StartupRequest::UnsupportedVersion => {
                 let code = sqlstate::FEATURE_NOT_SUPPORTED;
@@ -92,9 +88,9 @@
         &mut self,
         message: &ClientMessage,
         cycle: &mut CycleContext,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         match message.kind {
-            Some(ClientMessageKind::Terminate) => Err(ConnectionClosed),
+            Some(ClientMessageKind::Terminate) => Err(MustClose),
             Some(ClientMessageKind::Sync) => {
                 self.state.sync();
                 self.output.push_ready_for_query()
@@ -131,7 +127,7 @@
         }
     }
 
-    fn process_query(&mut self, body: &[u8], cycle: &mut CycleContext) -> Result<(), ConnectionClosed> {
+    fn process_query(&mut self, body: &[u8], cycle: &mut CycleContext) -> Result<(), MustClose> {
         match postgres::parse_query(body) {
             Ok(ParsedQuery::Empty) if cycle.service.is_ready() => self.add_response_to_empty_query(),
             Ok(ParsedQuery::Empty) => {
@@ -148,11 +144,7 @@
 
     /// Passes a query on for execution. Rejects it if the shutdown requires that or if there is no memory for
     /// its statement.
-    fn start_query(
-        &mut self,
-        mut query: Box<Query>,
-        cycle: &mut CycleContext,
-    ) -> Result<(), ConnectionClosed> {
+    fn start_query(&mut self, mut query: Box<Query>, cycle: &mut CycleContext) -> Result<(), MustClose> {
         let received_at = self.input.message_received_at();
         if let Some(drain) = cycle.service.rejecting_drain(received_at) {
             let code = sqlstate::CANNOT_CONNECT_NOW;
@@ -175,7 +167,7 @@
         message: &str,
         retry_after: Option<Duration>,
         cycle: &mut CycleContext,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         cycle.context.counters.rejected += 1;
         self.output.push_rejection(code, message, retry_after)
     }
--- a/src/net/frontend/tests.rs
+++ b/src/net/frontend/tests.rs
@@ -6,7 +6,7 @@
 
 use mio::{Events, Poll};
 
-use super::connection::Connection;
+use super::connection::ClientConnection;
 use super::connections::Capacity;
 use super::*;
 use crate::net::postgres;
@@ -60,7 +60,7 @@
         *self.frontend.connections.ids().first().expect("the client is connected")
     }
 
-    fn connection(&mut self) -> &mut Connection {
+    fn connection(&mut self) -> &mut ClientConnection {
         let id = self.connection_id();
         self.frontend.connections.get_mut(id).unwrap()
     }
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -76,7 +76,7 @@
 /// Serves clients until a graceful shutdown is complete. `path` is the file that `config` was read from; it
 /// is read again on reload.
 pub(crate) fn serve(config: &Config, path: &Path) -> Result<(), ServeError> {
-    let Started { mut poll, mut context, mut pooler } =
+    let StartedPooler { mut poll, mut context, mut pooler } =
         retry(|| start(config, path), ServeError::is_transient)?;
     reactor::run(&mut poll, &mut pooler, &mut context)?;
     tracing::info!(name = %config.name, "shut down: {}", context.counters);
@@ -84,18 +84,18 @@
 }
 
 /// A pooler that is ready to run.
-struct Started {
+struct StartedPooler {
     poll: Poll,
     context: Context,
     pooler: Pooler,
 }
 
-fn start(config: &Config, path: &Path) -> Result<Started, ServeError> {
+fn start(config: &Config, path: &Path) -> Result<StartedPooler, ServeError> {
     let poll = Poll::new()?;
     let reactor = Reactor::new(&poll)?;
     let mut context = Context { reactor, events: VecDeque::new(), counters: Counters::default() };
     let pooler = Pooler::new(config, path, &mut context)?;
-    Ok(Started { poll, context, pooler })
+    Ok(StartedPooler { poll, context, pooler })
 }
 
 impl Pooler {
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -6,7 +6,7 @@
 //! | --- | --- | --- |
 //! | 0 | The grace period starts. (1) | [`GracefulShutdown::start`] |
 //! | [`GRACE_PERIOD`] | Draining starts. (2) | `Pooler::start_draining` |
-//! | while draining | A connection is closed once all its queries are answered. | `Connection::can_close` |
+//! | while draining | A connection is closed once its queries are answered. | `ClientConnection::can_close` |
 //! | while draining | Newly received queries are rejected with 57P03. (3) | [`Drain::rejects`] |
 //! | [`KILL_MARGIN`] before the kill | Blocking requests are ended. (4) | `Pooler::end_blocking_requests` |
 //! | counted deadline (5) + [`KILL_DELAY`] | Earliest kill. | [`GracefulShutdown::earliest_kill`] |
