--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -21,7 +21,7 @@
 }
 
 impl ConfigError {
-    /// Whether another attempt to read the file may succeed.
+    /// Returns `true` if another attempt to read the file may succeed.
     pub fn is_transient(&self) -> bool {
         matches!(self, ConfigError::Read { source, .. } if is_transient(source))
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -40,7 +40,7 @@
     pub listen: SocketAddr,
     /// The address of service discovery.
     pub discovery: SocketAddr,
-    /// The seed for random numbers, which has to be a new one at each start.
+    /// The seed for random numbers, which must differ on each start.
     pub seed: u64,
     /// Maximum number of file descriptors that the process may have open.
     pub max_descriptors: usize,
@@ -56,7 +56,7 @@
     pub zones: Vec<String>,
     /// Time after which an endpoint closes an idle connection, in seconds.
     pub keepalive_timeout: f64,
-    /// The endpoint list that the file caches, which is used until service discovery answers.
+    /// The cached endpoint list, which is used until service discovery answers.
     pub cached_list: EndpointList,
 }
 
@@ -132,12 +132,12 @@
 }
 
 impl RawProcessLimits {
-    /// Maximum number of file descriptors that the process may have open.
+    /// Returns the maximum number of file descriptors that the process may have open.
     fn max_descriptors(&self) -> Result<usize, NotANumber> {
         Ok(self.sockets.or("sockets", DEFAULT_MAX_DESCRIPTORS)? as usize)
     }
 
-    /// Maximum memory that the process may use, in bytes.
+    /// Returns the maximum memory that the process may use, in bytes.
     fn max_memory(&self) -> Result<usize, NotANumber> {
         Ok((self.memory_mb.or("memory_mb", DEFAULT_MAX_MEMORY_MB)? * BYTES_PER_MB) as usize)
     }
@@ -156,10 +156,10 @@
     u64::from_str_radix(&text, SEED_RADIX).map_err(|_| ParseConfigError::InvalidSeed(text))
 }
 
-/// Decodes the settings, replaces those that hold in the simulator only, and checks the ranges.
+/// Decodes the settings, overrides those that hold only in the simulator, and checks the ranges.
 fn decode_valid_settings(raw: &RawSettings) -> Result<Settings, ParseConfigError> {
     let mut settings = raw.decode()?;
-    // Service discovery sends updates only while it is watched, whatever `registryMode` says.
+    // `registryMode` is ignored: service discovery sends updates only while the list is watched.
     settings.watch_endpoints = true;
     // Pooler and endpoints share a clock only in the simulator. The clock of a real machine may be wrong.
     settings.shares_endpoint_clock = false;
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -234,8 +234,8 @@
 }
 
 impl RawLoadInfo {
-    /// Whether the answer to a health check contains a log position or a role. Without either, health checks
-    /// are of no use.
+    /// Returns `true` if the answer to a health check contains a log position or a role. Without either,
+    /// health checks are of no use.
     fn reports_replication_state(&self) -> bool {
         let has_either_field = |fields: &[Option<String>]| {
             fields.iter().any(|field| matches!(field.as_deref(), Some(LOG_POSITION_FIELD | ROLE_FIELD)))
@@ -251,7 +251,8 @@
         Span::from_secs(bounds.get(class).copied().flatten().unwrap_or(0.0))
     }
 
-    /// The policy does not use how long an endpoint waits for recent data, but the value is checked.
+    /// Decodes `whenBehind`. The policy does not use `wait`, the time that an endpoint waits for recent data,
+    /// but the value is checked.
     fn decode_stale_reads(&self) -> Result<StaleReadHandling, DecodeSettingsError> {
         match self.when_behind.as_deref() {
             Some("refuse") => Ok(StaleReadHandling::Reject),
@@ -270,7 +271,7 @@
     Ok(Span::from_secs(number.or(field, default)?))
 }
 
-/// Returns the number, or `None` if it is absent.
+/// Returns the number, or `None` if it is absent or not finite.
 fn optional(number: Number, field: &'static str) -> Result<Option<f64>, NotANumber> {
     Ok(Some(number.or(field, f64::INFINITY)?).filter(|number| number.is_finite()))
 }
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -254,7 +254,7 @@
     assert_eq!(decode(&settings).unwrap().tick, secs(2.0));
 }
 
-/// The policy does not use `specifics.wait`, but a value out of range is an error all the same.
+/// The policy does not use `specifics.wait`, but a value out of range is still an error.
 #[test]
 fn the_range_of_the_unused_wait_is_checked() {
     let settings = |wait: f64| json!({"classes": [], "specifics": {"whenBehind": "wait", "wait": wait}});
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -8,7 +8,7 @@
     Config::parse(&config.to_string()).map_err(|error| error.to_string())
 }
 
-/// A configuration of the required fields only.
+/// Returns a configuration with only the required fields.
 fn minimal_config() -> Value {
     json!({
         "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7f",
@@ -20,7 +20,7 @@
     })
 }
 
-/// The minimal configuration with a field replaced or added at this JSON pointer.
+/// Returns the minimal configuration with a field replaced or added at this JSON pointer.
 fn config_with(pointer: &str, value: Value) -> Value {
     let mut config = minimal_config();
     let (parent, field) = pointer.rsplit_once('/').unwrap();
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -36,19 +36,20 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedEndpoint {
-    /// Its name, which the policy uses as its identifier.
+    /// The name, which the policy uses as the identifier of the endpoint.
     pub name: EndpointId,
-    /// Where it accepts connections.
+    /// The address on which the endpoint accepts connections.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the zone.
     pub zone: String,
-    /// The number of its replica group.
+    /// The number of the replica group.
     pub group: u32,
-    /// Whether it accepts requests.
+    /// Whether the endpoint accepts requests.
     pub status: EndpointStatus,
-    /// When it last started; `None` if that was long ago, for which the list has 0 or no value.
+    /// When the endpoint last started; `None` if that was long ago, which the list expresses as 0 or no
+    /// value.
     pub started_at: Option<ClusterInstant>,
-    /// Its role according to the list.
+    /// The role according to the endpoint list.
     pub role: Role,
 }
 
@@ -143,7 +144,8 @@
     (seconds != 0.0).then_some(ClusterInstant::from_secs(seconds))
 }
 
-/// Decodes an address. A removed endpoint needs no valid address: its removal must take effect all the same.
+/// Decodes an address. For a removed endpoint, [`NO_ADDRESS`] replaces a missing or invalid one, so that the
+/// removal takes effect.
 fn decode_address(text: Option<&str>, status: EndpointStatus) -> Option<SocketAddr> {
     let address = text.and_then(|text| text.parse().ok());
     if status == EndpointStatus::Removed {
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -70,7 +70,7 @@
     PrimaryChanged {
         /// The group.
         group: u32,
-        /// Its new primary; `None` if unknown.
+        /// The new primary; `None` if unknown.
         primary: Option<EndpointId>,
     },
     /// An endpoint was ejected as an outlier.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -9,17 +9,17 @@
 pub struct Request {
     /// The identifier of the request.
     pub id: RequestId,
-    /// The index of its class in [`Settings::classes`](crate::settings::Settings::classes).
+    /// The index of the request class in [`Settings::classes`](crate::settings::Settings::classes).
     pub class: usize,
-    /// The group that stores its data.
+    /// The group that stores the data.
     pub group: u32,
     /// Time until the client gives up.
     pub timeout: Span,
     /// Age of the session's last write, if the client sent it.
     pub session_token_age: Option<Span>,
-    /// The client session that it belongs to, if any.
+    /// The client session, if any.
     pub session: Option<Arc<str>>,
-    /// The index of its tenant in [`Settings::tenant_quotas`](crate::settings::Settings::tenant_quotas). No
+    /// The index of the tenant in [`Settings::tenant_quotas`](crate::settings::Settings::tenant_quotas). No
     /// quota applies to an index beyond the end.
     pub tenant: usize,
     /// Predicted execution time on an endpoint, if known.
@@ -75,7 +75,7 @@
         /// The load report of the endpoint.
         report: LoadReport,
     },
-    /// A streamed response has started. The policy takes no more decisions about the request.
+    /// A streamed response has started. The policy makes no more decisions about the request.
     ResponseStarted {
         /// The request that is being answered.
         id: RequestId,
@@ -98,7 +98,7 @@
 }
 
 impl Event {
-    /// A request of the first tenant without a session or predicted work.
+    /// Returns a request of the first tenant, without a session, session token or predicted work.
     pub fn request(id: &str, class: usize, group: u32, timeout: Span) -> Event {
         Event::Request(Request {
             id: id.into(),
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,5 +1,5 @@
 //! The interface between a [`Policy`](crate::Policy) and its host program: the host passes [`Event`]s to the
-//! policy and carries out the [`Action`]s that it returns. This module only defines types; it takes no
+//! policy and carries out the [`Action`]s that it returns. This module only defines types; it makes no
 //! decisions.
 //!
 //! The host supplies the current time with each event. Times on the host's clock and on the clock of the
@@ -60,13 +60,13 @@
     pub id: EndpointId,
     /// The zone in which the endpoint runs.
     pub zone: u32,
-    /// The group that it belongs to, which consists of one primary and its replicas.
+    /// The group of the endpoint, which consists of one primary and its replicas.
     pub group: u32,
-    /// Whether it accepts requests.
+    /// Whether the endpoint accepts requests.
     pub status: EndpointStatus,
-    /// When it last started; `None` if that was long ago.
+    /// When the endpoint last started; `None` if that was long ago.
     pub started_at: Option<ClusterInstant>,
-    /// Its role according to the list.
+    /// The role according to the endpoint list.
     pub role: Role,
 }
 
@@ -84,9 +84,9 @@
 /// The replication state that an endpoint reported. A field that is missing from the report is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// The log position up to which it had applied the log.
+    /// The log position up to which the endpoint had applied the log.
     pub log_position: Option<LogPosition>,
-    /// Its role.
+    /// The role of the endpoint.
     pub role: Option<Role>,
 }
 
@@ -97,7 +97,7 @@
     Success,
     /// The endpoint reported an error; the request may have been executed.
     Error,
-    /// The endpoint rejected it without executing it, because it is overloaded, draining or out of
+    /// The endpoint rejected the request without executing it, because it is overloaded, draining or out of
     /// connections.
     Overloaded,
     /// No answer was received in time; the request may have been executed.
@@ -111,14 +111,16 @@
     Cancelled,
     /// The attempt was never sent.
     NotSent,
-    /// The endpoint rejected it without executing it, because it is not the primary or its data is too old.
+    /// The endpoint rejected the request without executing it, because it is not the primary or its data is
+    /// too old.
     Ineligible,
-    /// The endpoint rejected it as invalid without executing it; every other endpoint would do the same.
+    /// The endpoint rejected the request as invalid without executing it; every other endpoint would do the
+    /// same.
     InvalidRequest,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the request was not executed.
+    /// Returns `true` if this outcome proves that the request was not executed.
     pub fn proves_not_executed(self) -> bool {
         matches!(
             self,
@@ -130,7 +132,7 @@
         )
     }
 
-    /// Whether the endpoint answered, whatever the answer was.
+    /// Returns `true` if the endpoint answered, even with an error or a rejection.
     pub fn is_response(self) -> bool {
         matches!(
             self,
--- a/src/json/mod.rs
+++ b/src/json/mod.rs
@@ -33,8 +33,8 @@
     Ok(())
 }
 
-/// Whether a value is nested deeper than `levels` levels. The recursion is bounded because `levels` decreases
-/// with each call.
+/// Returns `true` if a value is nested deeper than `levels` levels. The recursion is bounded because `levels`
+/// decreases with each call.
 fn exceeds_depth(value: &Value, levels: usize) -> bool {
     let child_exceeds = |child: &Value| exceeds_depth(child, levels - 1);
     match value {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! pg-pooler is a connection pooler for replicated databases. It routes each read and write to a suitable
 //! endpoint. [`cli`] runs the program; the network code behind it is private.
 //!
-//! [`Policy`] takes every decision, and [`interface`] defines its events and actions. The host program of a
+//! [`Policy`] makes every decision, and [`interface`] defines its events and actions. The host program of a
 //! policy passes events to it and carries out the actions that it returns. [`settings`] defines the settings
 //! of a policy, [`config`] decodes them from JSON, and [`time`] defines the time types.
 //! `docs/architecture.md` describes the modules and how they handle a request.
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -69,12 +69,13 @@
 }
 
 impl RequestClass {
-    /// Whether requests of the class modify data.
+    /// Returns `true` if requests of the class modify data.
     pub fn is_write(&self) -> bool {
         self.consistency == Consistency::Write
     }
 
-    /// How old the data may be, if the class has [`Consistency::BoundedStaleness`].
+    /// Returns the maximum age of the data for [`Consistency::BoundedStaleness`], and `None` for other
+    /// levels.
     pub fn staleness_bound(&self) -> Option<Span> {
         match self.consistency {
             Consistency::BoundedStaleness(bound) => Some(bound),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Whether only the primary can answer requests of the class.
+    /// Returns `true` if only the primary can answer requests of the class.
     pub fn needs_primary(&self) -> bool {
         matches!(self.consistency, Consistency::Write | Consistency::Strong)
     }
@@ -107,14 +108,15 @@
 /// How an endpoint handles a read for which its data is too old.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StaleReadHandling {
-    /// It answers with the data that it has.
+    /// The endpoint answers with the data that it has.
     ServeStale,
-    /// It rejects the read without executing it, at once or after it has waited for replication to catch up.
+    /// The endpoint rejects the read without executing it, at once or after waiting for replication to catch
+    /// up.
     Reject,
 }
 
 impl StaleReadHandling {
-    /// Whether endpoints reject reads for which their data is too old.
+    /// Returns `true` if endpoints reject reads for which their data is too old.
     pub fn rejects_stale_reads(self) -> bool {
         self != StaleReadHandling::ServeStale
     }
@@ -134,10 +136,10 @@
     pub pooler_count: u32,
     /// The zone in which the pooler runs.
     pub zone: u32,
-    /// Whether the pooler's clock is the clock of the endpoints. This holds in the simulator only: the clocks
-    /// of real machines may be wrong.
+    /// Whether pooler and endpoints share a clock. True only in the simulator: the clocks of real machines
+    /// may be wrong.
     pub shares_endpoint_clock: bool,
-    /// Timer resolution: events may be handled this much too late. A request gets its final answer at least
+    /// Timer resolution: events may be handled late by this much. A request gets its final answer at least
     /// this long before its deadline.
     pub tick: Span,
     /// Whether health checks are allowed and their answers report a log position or a role.
@@ -178,7 +180,7 @@
 }
 
 impl Settings {
-    /// Maximum number of attempts of one request that may be in flight at the same time.
+    /// Returns the maximum number of attempts of one request that may be in flight at the same time.
     pub fn max_attempts_in_flight(&self) -> usize {
         if self.hedging {
             2
@@ -187,12 +189,13 @@
         }
     }
 
-    /// The longest deadline of any class.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Span {
         self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Share of its full capacity that an endpoint has at this uptime. It grows linearly during slow start.
+    /// Returns the share of its full capacity that an endpoint has at this uptime. The share grows linearly
+    /// during slow start.
     pub fn capacity_at_uptime(&self, uptime: Span) -> f64 {
         if uptime >= self.slow_start_window {
             return 1.0;
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -33,7 +33,7 @@
     (0.0..=1.0).contains(&share)
 }
 
-/// Checks every setting that has a range.
+/// Checks the range of every setting that has one.
 pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     validate_general(settings)?;
     for (index, quota) in settings.tenant_quotas.iter().enumerate() {
@@ -89,7 +89,7 @@
     require(staleness_in_range, || format!("specifics.stalenessBound[{index}]"), NON_NEGATIVE)
 }
 
-/// Checks a number that the policy does not use, but whose range is checked all the same.
+/// Checks that a number is finite and non-negative. For settings that the policy does not use.
 pub(crate) fn require_non_negative(number: f64, field: &str) -> Result<(), SettingsError> {
     require(is_non_negative(number), || field.to_string(), NON_NEGATIVE)
 }
--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -2,17 +2,17 @@
 
 use super::{ClusterInstant, LocalInstant, Span};
 
-/// A span of this many seconds.
+/// Returns a span of this many seconds.
 pub(crate) const fn secs(seconds: f64) -> Span {
     Span::from_secs(seconds)
 }
 
-/// The instant on the pooler's clock this many seconds after its zero.
+/// Returns the instant on the pooler's clock this many seconds after its zero.
 pub(crate) const fn at(seconds: f64) -> LocalInstant {
     LocalInstant::from_secs(seconds)
 }
 
-/// The instant on the endpoints' clock this many seconds after its zero.
+/// Returns the instant on the endpoints' clock this many seconds after its zero.
 pub(crate) const fn cluster_at(seconds: f64) -> ClusterInstant {
     ClusterInstant::from_secs(seconds)
 }
--- a/src/transient_error.rs
+++ b/src/transient_error.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Maximum number of retries of a call: with the delays in between, they take five seconds.
+/// Maximum number of retries of a call; with their delays, they take five seconds.
 const MAX_RETRIES: u32 = 50;
 /// Delay before a retry.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -16,7 +16,7 @@
 const EADDRNOTAVAIL: i32 = 99;
 const ENOBUFS: i32 = 105;
 
-/// Whether the same call may succeed a moment later.
+/// Returns `true` if the same call may succeed a moment later.
 pub(crate) fn is_transient(error: &io::Error) -> bool {
     let by_kind = matches!(
         error.kind(),
