--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -31,6 +31,8 @@
 /// File descriptors not available to connections: used for the listener, the poll instance, signals, standard
 /// error, the endpoint list watch and anything that the process opens temporarily.
 const RESERVED_DESCRIPTORS: usize = 16;
+/// The reserved file descriptors, and one each for a client and an endpoint.
+const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2;
 
 /// Why the pooler failed to start or stopped.
 #[derive(Debug, thiserror::Error)]
@@ -38,8 +40,11 @@
     /// The policy rejected its settings.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// The configured limit on file descriptors leaves none for clients.
-    #[error("`limits.sockets` is too low: no file descriptor is left for clients")]
+    /// The configured limit on file descriptors is below [`MIN_DESCRIPTORS`].
+    #[error(
+        "'limits.sockets' must be at least {MIN_DESCRIPTORS}: {RESERVED_DESCRIPTORS} file descriptors are \
+         reserved, and clients and endpoints need at least one each"
+    )]
     TooFewSockets,
     /// A system call failed.
     #[error(transparent)]
@@ -47,13 +52,13 @@
 }
 
 impl ServeError {
-    /// Returns whether retrying the start may succeed.
+    /// Returns `true` if another attempt to start may succeed.
     fn is_transient(&self) -> bool {
         matches!(self, ServeError::Io(error) if is_transient(error))
     }
 }
 
-/// Maximum number of connections on each side.
+/// Maximum number of client and backend connections.
 struct ConnectionLimits {
     clients: usize,
     backend: usize,
@@ -83,7 +88,7 @@
     Ok(())
 }
 
-/// A pooler that is ready to run.
+/// A pooler that is ready to run, with its event loop.
 struct StartedPooler {
     poll: Poll,
     context: Context,
