--- a/src/net/backend/connect_error.rs
+++ b/src/net/backend/connect_error.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Returns whether an error of this kind is attributed to the endpoint or the network path to it.
+/// Returns `true` if an error of this kind is attributed to the endpoint or the network path to it.
 fn is_caused_by_endpoint(kind: ErrorKind) -> bool {
     matches!(
         kind,
--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -112,12 +112,12 @@
         self.state_deadline
     }
 
-    /// Returns whether the connection is ready for an exchange.
+    /// Returns `true` if the connection is ready for an exchange.
     pub fn is_idle(&self) -> bool {
         self.state.is_idle()
     }
 
-    /// Returns whether the connection has an exchange whose query is not completely written.
+    /// Returns `true` if the connection has an exchange whose query is not completely written.
     pub fn has_unsent_query(&self) -> bool {
         match self.state {
             ConnectionState::Connecting(_) | ConnectionState::Starting(_) => true,
@@ -126,18 +126,18 @@
         }
     }
 
-    /// Returns whether data has been received that was not processed as part of an exchange.
+    /// Returns `true` if data has been received that was not processed as part of an exchange.
     pub fn has_unread_input(&self) -> bool {
         !self.input.is_empty()
     }
 
-    /// Returns whether no data of an earlier exchange is left to be read or written.
+    /// Returns `true` if no data of an earlier exchange is left to be read or written.
     pub fn has_empty_buffers(&self) -> bool {
         self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether an idle connection is still open and in sync. Reads from the socket, so that no query
-    /// is sent on a connection which the peer has closed but whose poll event is not handled yet.
+    /// Returns `true` if an idle connection is still open and in sync. Reads from the socket, so that no
+    /// query is sent on a connection which the peer has closed but whose poll event is not handled yet.
     pub fn is_usable(&mut self) -> bool {
         let read = self.input.read_from(&mut self.stream);
         matches!(read, Ok(ReadStatus::WouldBlock)) && self.input.is_empty()
--- a/src/net/backend/exchange.rs
+++ b/src/net/backend/exchange.rs
@@ -60,7 +60,7 @@
         context.events.push_back(Event::TaskCompleted(Box::new(completion)));
     }
 
-    /// Returns whether this is a health check that succeeded without a readable load report.
+    /// Returns `true` if this is a health check that succeeded without a readable load report.
     fn lacks_load_report(&self, outcome: Outcome, reply: &Reply) -> bool {
         matches!(self.task, Task::HealthCheck) && outcome == Outcome::Success && !reply.has_load_report()
     }
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -181,7 +181,7 @@
         self.handle_status(id, status, context);
     }
 
-    /// Returns whether the connection exists and the deadline of its state has passed.
+    /// Returns `true` if the connection exists and the deadline of its state has passed.
     fn is_expired(&mut self, id: ConnectionId, now: Instant) -> bool {
         self.pool.get_mut(id).is_some_and(|connection| connection.state_deadline() <= now)
     }
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -149,8 +149,7 @@
         self.endpoints.get(endpoint).map(|endpoint| endpoint.address)
     }
 
-    /// Takes the most recently used idle connection to an endpoint. Closes unusable connections that it
-    /// finds.
+    /// Takes the most recently used idle connection to an endpoint. Closes any unusable ones.
     pub fn take_idle(&mut self, endpoint: &EndpointId) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(id) = endpoint.idle.pop() {
--- a/src/net/backend/reply.rs
+++ b/src/net/backend/reply.rs
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Returns whether an error or part of the result set has been received.
+    /// Returns `true` if an error or part of the result set has been received.
     pub fn has_started(&self) -> bool {
         self.result_set != ResultSetState::AwaitingRowDescription || self.error_code.is_some()
     }
 
-    /// Returns whether a load report was received and parsed.
+    /// Returns `true` if a load report was received and parsed.
     pub fn has_load_report(&self) -> bool {
         self.report.is_some()
     }
--- a/src/net/backend/state.rs
+++ b/src/net/backend/state.rs
@@ -49,17 +49,17 @@
         ConnectionState::Busy { exchange, reply: Reply::default(), reply_started: false }
     }
 
-    /// Returns whether the connection is ready for an exchange.
+    /// Returns `true` if the connection is ready for an exchange.
     pub fn is_idle(&self) -> bool {
         matches!(self, ConnectionState::Idle)
     }
 
-    /// Returns whether a query is queued or sent.
+    /// Returns `true` if a query is queued or sent.
     pub fn is_busy(&self) -> bool {
         matches!(self, ConnectionState::Busy { .. })
     }
 
-    /// Returns whether the session is being started.
+    /// Returns `true` if the session is being started.
     pub fn is_starting(&self) -> bool {
         matches!(self, ConnectionState::Starting(_))
     }
--- a/src/net/buffer/memory_budget.rs
+++ b/src/net/buffer/memory_budget.rs
@@ -6,7 +6,7 @@
 
 use thiserror::Error;
 
-/// A request exceeds the maximum size of the buffer or the remaining memory budget.
+/// The requested size exceeds the maximum buffer size or the remaining memory budget.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("buffer size limit or memory budget exceeded")]
 pub(crate) struct CapacityExceeded;
--- a/src/net/buffer/ring_buffer.rs
+++ b/src/net/buffer/ring_buffer.rs
@@ -27,7 +27,7 @@
     Full,
 }
 
-/// Byte queue that grows on demand up to [`MAX_BUFFER_SIZE`], as far as its memory budget allows.
+/// Byte queue that grows on demand, up to [`MAX_BUFFER_SIZE`] and within its memory budget.
 pub(crate) struct RingBuffer {
     storage: Vec<u8>,
     /// Index of the first byte in `storage`.
@@ -60,7 +60,7 @@
         self.len
     }
 
-    /// Returns whether the buffer is empty.
+    /// Returns `true` if the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Writes until the buffer is empty or the sink would block. Returns whether the buffer is empty.
+    /// Writes until the buffer is empty or the sink would block. Returns `true` if the buffer is empty.
     pub fn write_to(&mut self, sink: &mut impl Write) -> io::Result<bool> {
         while self.len > 0 {
             let end = (self.head + self.len).min(self.storage.len());
--- a/src/net/frontend/acceptor.rs
+++ b/src/net/frontend/acceptor.rs
@@ -52,7 +52,7 @@
         self.is_closing = true;
     }
 
-    /// Returns whether connections are still accepted.
+    /// Returns `true` if connections are still accepted.
     pub(super) fn is_open(&self) -> bool {
         self.listener.is_some()
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns whether connections were left in the accept queue since the last call.
+    /// Returns `true` if connections were left in the accept queue since the last call.
     pub(super) fn take_backlog(&mut self) -> bool {
         std::mem::take(&mut self.has_backlog)
     }
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -62,22 +62,22 @@
         &self.session
     }
 
-    /// Returns whether a timer rather than an event starts the next cycle of the connection.
+    /// Returns `true` if a timer rather than an event starts the next cycle of the connection.
     pub(super) fn is_resumed_by_timer(&self) -> bool {
         self.cycle_scheduled || !self.socket.is_registered()
     }
 
-    /// Returns whether the client has not performed the expected action in time.
+    /// Returns `true` if the client has not performed the expected action in time.
     pub(super) fn has_missed_deadline(&self, now: Instant) -> bool {
         self.deadline.has_expired(now)
     }
 
-    /// Returns whether a graceful shutdown may close the connection: every query received is answered.
+    /// Returns `true` if a graceful shutdown may close the connection: every query received is answered.
     pub(super) fn can_close(&self) -> bool {
         !self.cycle_scheduled && self.session.is_drained()
     }
 
-    /// Reads, processes and writes as much as possible without blocking.
+    /// Reads, processes and writes until the connection would block.
     pub(super) fn run_cycle(
         &mut self,
         id: ConnectionId,
--- a/src/net/frontend/connection_limit.rs
+++ b/src/net/frontend/connection_limit.rs
@@ -11,7 +11,7 @@
 use crate::net::{CancelKey, Context};
 
 impl Frontend {
-    /// Accepts the connections in the accept queue, as far as the connection limit allows.
+    /// Accepts connections until the accept queue is empty or no more can be accepted for now.
     pub fn accept(&mut self, context: &mut Context) {
         while self.acceptor.is_open() {
             if self.accept_next(context).is_break() {
--- a/src/net/frontend/connections.rs
+++ b/src/net/frontend/connections.rs
@@ -44,7 +44,7 @@
         self.table.iter().filter(|(_, connection)| !connection.session().phase().is_closing()).count()
     }
 
-    /// Returns the connection with this id, unless it was removed.
+    /// Returns the connection with this ID, unless it was removed.
     pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut ClientConnection> {
         self.table.get_mut(id)
     }
@@ -54,29 +54,29 @@
         self.table.insert(connection)
     }
 
-    /// Closes the connection with this id, unless it was removed.
+    /// Closes the connection with this ID, unless it was removed.
     pub(super) fn remove(&mut self, id: ConnectionId) {
         self.table.remove(id);
     }
 
-    /// Returns the ids of all connections.
+    /// Returns the IDs of all connections.
     pub(super) fn ids(&self) -> Vec<ConnectionId> {
         self.find_all(|_| true)
     }
 
-    /// Returns the ids of the connections whose sessions match.
+    /// Returns the IDs of the connections whose sessions match.
     pub(super) fn find_all(&self, matches: impl Fn(&Session) -> bool) -> Vec<ConnectionId> {
         let matching = self.table.iter().filter(|(_, connection)| matches(connection.session()));
         matching.map(|(id, _)| id).collect()
     }
 
-    /// Returns the id of the first connection whose session matches.
+    /// Returns the ID of the first connection whose session matches.
     pub(super) fn find(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
         let mut connections = self.table.iter();
         connections.find(|(_, connection)| matches(connection.session())).map(|(id, _)| id)
     }
 
-    /// Returns the id of the matching connection that has been inactive for longest.
+    /// Returns the ID of the matching connection that has been inactive for longest.
     pub(super) fn least_recently_active(&self, matches: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
         self.table
             .iter()
@@ -85,7 +85,7 @@
             .map(|(id, _)| id)
     }
 
-    /// Returns whether a new connection can be accepted. Half-closed connections are evicted before idle
+    /// Returns the capacity for a new connection. Half-closed connections are evicted before idle
     /// ones. A connection whose last response is not completely written is never evicted.
     pub(super) fn capacity(&self) -> Capacity {
         if self.len() < self.limit {
@@ -96,7 +96,7 @@
         candidate.map_or(Capacity::Exhausted, Capacity::Evict)
     }
 
-    /// Returns whether the connection with this id can still be evicted for a new one.
+    /// Returns `true` if the connection with this ID can still be evicted for a new one.
     pub(super) fn is_evictable(&mut self, id: ConnectionId) -> bool {
         let Some(connection) = self.table.get_mut(id) else { return false };
         is_half_closed(connection.session()) || connection.session().is_idle()
--- a/src/net/frontend/cycle.rs
+++ b/src/net/frontend/cycle.rs
@@ -6,7 +6,7 @@
 
 /// What one cycle needs from outside the connection.
 pub(super) struct CycleContext<'a> {
-    /// The id of the connection.
+    /// The ID of the connection.
     pub(super) id: ConnectionId,
     /// Whether queries are currently executed or rejected.
     pub(super) service: ServiceStatus,
--- a/src/net/frontend/deadline.rs
+++ b/src/net/frontend/deadline.rs
@@ -57,7 +57,7 @@
         self.current = None;
     }
 
-    /// Returns whether the deadline has passed.
+    /// Returns `true` if the deadline has passed.
     pub(super) fn has_expired(&self, now: Instant) -> bool {
         self.current.is_some_and(|current| now >= current.expires_at)
     }
--- a/src/net/frontend/idle.rs
+++ b/src/net/frontend/idle.rs
@@ -17,7 +17,7 @@
 
 /// A connection whose idle timeout has passed.
 pub(super) struct IdleConnection {
-    /// The id of the connection.
+    /// The ID of the connection.
     pub(super) id: ConnectionId,
     timeout: Duration,
 }
@@ -31,7 +31,8 @@
         Some(IdleConnection { id, timeout })
     }
 
-    /// Returns whether `session`, which must be that of this connection, has still been idle for the timeout.
+    /// Returns `true` if `session`, which must be that of this connection, has still been idle for the
+    /// timeout.
     pub(super) fn is_still_idle(&self, session: &Session, now: Instant) -> bool {
         session.has_been_idle_for(self.timeout, now)
     }
--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -30,7 +30,7 @@
         self.buffer.len()
     }
 
-    /// Returns whether all input is processed.
+    /// Returns `true` if all input is processed.
     pub(super) fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -59,7 +59,7 @@
         Ok(status)
     }
 
-    /// Reads at most one buffer of input and discards it. Returns whether more may be left in the source.
+    /// Reads at most one buffer of input and discards it. Returns `true` if more may be left in the source.
     /// Fails if the source has ended.
     pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, MustClose> {
         let status = self.buffer.read_from(source)?;
--- a/src/net/frontend/mod.rs
+++ b/src/net/frontend/mod.rs
@@ -89,7 +89,7 @@
         })
     }
 
-    /// Returns whether the listener is closed and no client is connected.
+    /// Returns `true` if the listener is closed and no client is connected.
     pub fn is_finished(&self) -> bool {
         self.connections.len() == 0 && !self.acceptor.is_open()
     }
--- a/src/net/frontend/output.rs
+++ b/src/net/frontend/output.rs
@@ -32,12 +32,12 @@
         Output { buffer: RingBuffer::new(budget) }
     }
 
-    /// Returns whether all output is written.
+    /// Returns `true` if all output is written.
     pub(super) fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Writes as much as the sink accepts without blocking.
+    /// Writes output until the sink would block.
     pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, MustClose> {
         let length_before = self.buffer.len();
         if self.buffer.write_to(sink)? {
--- a/src/net/frontend/protocol_state.rs
+++ b/src/net/frontend/protocol_state.rs
@@ -32,12 +32,12 @@
 }
 
 impl Phase {
-    /// Returns whether the next message of the client may be processed.
+    /// Returns `true` if the next message of the client may be processed.
     pub(super) fn is_reading(self) -> bool {
         matches!(self, Phase::Startup | Phase::Idle | Phase::SkippingToSync)
     }
 
-    /// Returns whether the connection is being closed.
+    /// Returns `true` if the connection is being closed.
     pub(super) fn is_closing(self) -> bool {
         matches!(self, Phase::Closing | Phase::HalfClosed)
     }
@@ -62,7 +62,7 @@
         self.phase
     }
 
-    /// Returns whether a query of the client was passed on for execution or an empty query was answered. A
+    /// Returns `true` if a query of the client was passed on for execution or an empty query was answered. A
     /// query that was rejected instead of being passed on does not count, nor does an empty query that waits
     /// for an endpoint.
     pub(super) fn has_queried(&self) -> bool {
--- a/src/net/frontend/service_status.rs
+++ b/src/net/frontend/service_status.rs
@@ -12,7 +12,7 @@
 }
 
 impl ServiceStatus {
-    /// Returns whether there is an endpoint to which queries can be sent.
+    /// Returns `true` if there is an endpoint to which queries can be sent.
     pub(super) fn is_ready(&self) -> bool {
         self.is_ready
     }
@@ -22,7 +22,7 @@
         self.is_ready = true;
     }
 
-    /// Returns whether the connections are being drained for the shutdown.
+    /// Returns `true` if the connections are being drained for the shutdown.
     pub(super) fn is_draining(&self) -> bool {
         self.drain.is_some()
     }
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -50,30 +50,30 @@
         self.input.last_received_at().max(self.last_responded_at)
     }
 
-    /// Returns whether a query is running that a cancel request with this key refers to.
+    /// Returns `true` if a query is running that a cancel request with this key refers to.
     pub(super) fn is_cancelled_by(&self, key: CancelKey) -> bool {
         self.cancel_key == key && self.phase() == Phase::Busy
     }
 
-    /// Returns whether the running query is a blocking request, that is, a query with unread input behind it.
-    /// The input need not be a complete query.
+    /// Returns `true` if the running query is a blocking request, that is, a query with unread input behind
+    /// it. The input need not be a complete query.
     pub(super) fn has_blocking_request(&self) -> bool {
         self.phase() == Phase::Busy && !self.input.is_empty()
     }
 
-    /// Returns whether the session is between queries, with no input or output pending.
+    /// Returns `true` if the session is between queries, with no input or output pending.
     pub(super) fn is_idle(&self) -> bool {
         self.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether the session has been idle for at least `timeout`. Sessions whose client has not sent a
-    /// query yet do not count as idle here, since the deadline for the first query applies to them.
+    /// Returns `true` if the session has been idle for at least `timeout`. Sessions whose client has not sent
+    /// a query yet do not count as idle here, since the deadline for the first query applies to them.
     pub(super) fn has_been_idle_for(&self, timeout: Duration, now: Instant) -> bool {
         self.state.has_queried() && self.is_idle() && now >= self.last_active_at() + timeout
     }
 
-    /// Returns whether every query received is answered, even if responses are not completely written yet. An
-    /// incomplete message does not count as a query, and neither does an empty query that waits for an
+    /// Returns `true` if every query received is answered, even if responses are not completely written yet.
+    /// An incomplete message does not count as a query, and neither does an empty query that waits for an
     /// endpoint, which remains unanswered.
     pub(super) fn is_drained(&self) -> bool {
         if self.phase() == Phase::Busy || self.phase().is_closing() {
@@ -115,13 +115,13 @@
         self.input.read_from(source, now)
     }
 
-    /// Discards the available input, at most one buffer. Returns whether more may be left. Fails if the
+    /// Discards the available input, at most one buffer. Returns `true` if more may be left. Fails if the
     /// client has closed the connection.
     pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, MustClose> {
         self.input.discard_from(source)
     }
 
-    /// Writes as much output as the sink accepts without blocking.
+    /// Writes output until the sink would block.
     pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, MustClose> {
         self.output.write_to(sink)
     }
@@ -169,7 +169,7 @@
 
     /// Closes a session whose input buffer cannot grow to hold the rest of a message. Messages that exceed
     /// the maximum buffer size are rejected earlier, so the memory budget is exhausted, and the buffer would
-    /// hold its share of it indefinitely. Returns whether the session is being closed.
+    /// hold its share of it indefinitely. Returns `true` if the session is being closed.
     pub(super) fn close_if_out_of_memory(&mut self, counters: &mut Counters) -> Result<bool, MustClose> {
         let is_closing = self.phase().is_reading() && self.output.is_empty();
         if is_closing {
--- a/src/net/frontend/socket.rs
+++ b/src/net/frontend/socket.rs
@@ -24,7 +24,7 @@
         ClientSocket { stream, is_registered: false }
     }
 
-    /// Returns whether the reactor announces events of the socket.
+    /// Returns `true` if the reactor announces events of the socket.
     pub(super) fn is_registered(&self) -> bool {
         self.is_registered
     }
--- a/src/net/pooler/active_requests/mod.rs
+++ b/src/net/pooler/active_requests/mod.rs
@@ -63,7 +63,7 @@
 }
 
 impl ActiveRequests {
-    /// Returns whether a request with this ID is in progress.
+    /// Returns `true` if a request with this ID is in progress.
     pub fn contains(&self, id: &str) -> bool {
         self.requests.contains_key(id)
     }
@@ -88,7 +88,7 @@
         Some(AttemptTask { request: id, number, statement: request.statement.clone() })
     }
 
-    /// Records that an attempt was sent on a connection, or on none if none could be opened.
+    /// Records that an attempt was sent. `connection` is `None` if no connection could be opened.
     pub fn attempt_sent(&mut self, id: &str, number: usize, connection: Option<ConnectionId>) {
         if let Some(request) = self.requests.get_mut(id) {
             request.in_flight.push(InFlightAttempt { number, connection });
@@ -106,8 +106,8 @@
         self.requests.get(id).map(ActiveRequest::connections).unwrap_or_default()
     }
 
-    /// Records that an attempt has ended, and returns whether the client still waits. Returns `None` if the
-    /// request is not in progress.
+    /// Records that an attempt has ended, and returns the state of the client. Returns `None` if the request
+    /// is not in progress.
     pub fn attempt_finished(&mut self, id: &str, number: usize) -> Option<ClientState> {
         let request = self.requests.get_mut(id)?;
         request.in_flight.retain(|attempt| attempt.number != number);
--- a/src/net/pooler/queries.rs
+++ b/src/net/pooler/queries.rs
@@ -54,7 +54,7 @@
         self.tenants.iter().position(|known| known == name).unwrap_or(self.tenants.len())
     }
 
-    /// Returns whether requests of a class depend on their session.
+    /// Returns `true` if requests of a class depend on their session.
     fn uses_sessions(&self, class: usize) -> bool {
         matches!(self.classes[class].consistency, Consistency::Write | Consistency::Session)
     }
--- a/src/net/pooler/reload.rs
+++ b/src/net/pooler/reload.rs
@@ -34,8 +34,8 @@
     }
 
     /// Allows retries after a first failure if the file could not be read, since the system may be short of
-    /// file descriptors temporarily. A file that is invalid at the first read is not retried. Returns whether
-    /// a retry is due.
+    /// file descriptors temporarily. A file that is invalid at the first read is not retried. Returns `true`
+    /// if a retry is due.
     fn allow_retries_after(&mut self, error: &ConfigError) -> bool {
         let is_transient = matches!(error, ConfigError::Read { .. });
         if is_transient {
@@ -44,7 +44,7 @@
         is_transient
     }
 
-    /// Uses up one retry. Returns false if none was left.
+    /// Uses up one retry. Returns `false` if none was left.
     fn take_retry(&mut self) -> bool {
         let is_due = self.retries_left > 0;
         self.retries_left = self.retries_left.saturating_sub(1);
--- a/src/net/reactor/mod.rs
+++ b/src/net/reactor/mod.rs
@@ -107,7 +107,7 @@
     fn ready(&mut self, source: EventSource, readiness: Readiness, context: &mut Context);
     /// Called when a timer has expired.
     fn timer_expired(&mut self, event: TimerEvent, context: &mut Context);
-    /// Returns whether the loop should stop.
+    /// Returns `true` if the loop should stop.
     fn is_finished(&self) -> bool;
 }
 
--- a/src/net/reactor/tokens.rs
+++ b/src/net/reactor/tokens.rs
@@ -34,7 +34,7 @@
 }
 
 impl EventSource {
-    /// Returns whether the source is a client connection.
+    /// Returns `true` if the source is a client connection.
     pub fn is_client(self) -> bool {
         matches!(self, EventSource::Client(_))
     }
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -96,7 +96,7 @@
         Drain { started_at: now, retry_after: self.retry_after }
     }
 
-    /// Returns whether the process exits once no client is connected.
+    /// Returns `true` if the process exits once no client is connected.
     pub fn is_draining(&self) -> bool {
         self.phase == Phase::Draining
     }
@@ -116,7 +116,7 @@
 }
 
 impl Drain {
-    /// Returns whether a query received at `received_at` is rejected: the process may be killed before the
+    /// Returns `true` if a query received at `received_at` is rejected: the process may be killed before the
     /// query completes, while another pooler can execute it.
     pub fn rejects(&self, received_at: Instant) -> bool {
         received_at > self.started_at
