--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -209,7 +209,7 @@
                 return status;
             }
             if read == ReadStatus::EndOfStream {
-                return self.connection_lost();
+                return self.lost_connection_status();
             }
             // Readiness is edge-triggered: no further event comes for data left in the socket because the
             // buffer was full, nor for a query that was just queued.
@@ -228,7 +228,7 @@
         if is_query_waiting && now >= self.state_deadline {
             return Err(ExchangeStatus::Failed(Outcome::ConnectFailed));
         }
-        self.output.write_to(&mut self.stream).map_err(|_| self.connection_lost())?;
+        self.output.write_to(&mut self.stream).map_err(|_| self.lost_connection_status())?;
         if let ConnectionState::Busy { exchange, reply_started: false, .. } = &self.state {
             if is_query_waiting && self.write_status() == WriteStatus::Written {
                 self.state_deadline = exchange.deadline();
@@ -304,7 +304,7 @@
                 match reply.add_message(message, exchange.task(), &mut self.value_memory) {
                     Ok(ReplyStatus::Incomplete) => ExchangeStatus::Pending,
                     Ok(ReplyStatus::ReadyForQuery) => ExchangeStatus::Done,
-                    Ok(ReplyStatus::FatalError) => self.connection_lost(),
+                    Ok(ReplyStatus::FatalError) => self.lost_connection_status(),
                     Err(ReplyError::UnexpectedMessage) => self.reject_malformed(),
                     Err(ReplyError::OutOfMemory) => ExchangeStatus::Failed(Outcome::Error),
                 }
@@ -329,7 +329,7 @@
     }
 
     /// Returns how the exchange ends now that the connection is lost.
-    fn connection_lost(&self) -> ExchangeStatus {
+    fn lost_connection_status(&self) -> ExchangeStatus {
         ExchangeStatus::Failed(self.state.outcome_of_lost_connection(self.write_status()))
     }
 
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Applies an update of the endpoint list. Unsent queries to endpoints that stopped serving with it end
-    /// as [`NotSent`](Outcome::NotSent).
+    /// Applies an update of the endpoint list. Unsent queries to endpoints that no longer serve end as
+    /// [`NotSent`](Outcome::NotSent).
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
@@ -82,9 +82,8 @@
         self.pool.close_idle_connections(endpoint);
     }
 
-    /// Starts a task and returns the connection used for it, which may already be closed again with the
-    /// completion of the task queued. Returns `None`, with the completion queued, if no connection could be
-    /// opened.
+    /// Starts a task and returns its connection, or `None` if none could be opened. If the task ends at once,
+    /// its completion is queued as an event, and the returned connection may already be closed.
     pub fn send(
         &mut self,
         task: Task,
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -62,9 +62,9 @@
         Pool { endpoints: HashMap::new(), connections: ConnectionTable::new(), max_connections }
     }
 
-    /// Applies an update of the endpoint list and returns the endpoints that stopped serving with it. Closes
-    /// idle connections to endpoints that have a new address, have restarted, drain or were removed: an
-    /// endpoint that was cut off from the network leaves its connections open but never answers.
+    /// Applies an update of the endpoint list and returns the endpoints that no longer serve. Closes idle
+    /// connections to endpoints that have a new address, have restarted, drain or were removed: an endpoint
+    /// that was cut off from the network leaves its connections open but never answers.
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
--- a/src/net/pooler/actions.rs
+++ b/src/net/pooler/actions.rs
@@ -52,7 +52,7 @@
         context.counters.attempts_sent += 1;
         let number = attempt.number;
         let connection = self.backend.send(Task::Attempt(attempt), endpoint, timeout, context);
-        self.requests.attempt_sent(&id, number, connection);
+        self.requests.record_attempt_sent(&id, number, connection);
     }
 
     fn send_health_check(&mut self, endpoint: &EndpointId, context: &mut Context) {
--- a/src/net/pooler/active_requests/mod.rs
+++ b/src/net/pooler/active_requests/mod.rs
@@ -89,7 +89,7 @@
     }
 
     /// Records that an attempt was sent. `connection` is `None` if no connection could be opened.
-    pub fn attempt_sent(&mut self, id: &str, number: usize, connection: Option<ConnectionId>) {
+    pub fn record_attempt_sent(&mut self, id: &str, number: usize, connection: Option<ConnectionId>) {
         if let Some(request) = self.requests.get_mut(id) {
             request.in_flight.push(InFlightAttempt { number, connection });
         }
@@ -108,7 +108,7 @@
 
     /// Records that an attempt has ended, and returns the state of the client. Returns `None` if the request
     /// is not in progress.
-    pub fn attempt_finished(&mut self, id: &str, number: usize) -> Option<ClientState> {
+    pub fn record_attempt_finished(&mut self, id: &str, number: usize) -> Option<ClientState> {
         let request = self.requests.get_mut(id)?;
         request.in_flight.retain(|attempt| attempt.number != number);
         Some(if request.client.is_some() { ClientState::Waiting } else { ClientState::NotWaiting })
--- a/src/net/pooler/active_requests/tests.rs
+++ b/src/net/pooler/active_requests/tests.rs
@@ -27,7 +27,7 @@
 /// Starts an attempt on `connection` and returns its number.
 fn send_attempt(table: &mut ActiveRequests, connection: Option<ConnectionId>) -> usize {
     let attempt = table.start_attempt(ID.into()).expect("the request is in progress");
-    table.attempt_sent(ID, attempt.number, connection);
+    table.record_attempt_sent(ID, attempt.number, connection);
     attempt.number
 }
 
@@ -37,11 +37,11 @@
     let mut table = ActiveRequests::default();
     assert!(!table.contains(ID));
     assert!(table.start_attempt(ID.into()).is_none());
-    assert_eq!(table.attempt_finished(ID, 0), None);
+    assert_eq!(table.record_attempt_finished(ID, 0), None);
     assert_eq!(table.connection_of_attempt(ID, 0), None);
     assert_eq!(table.abandon(client), None);
     assert_eq!(table.take_client(ID), None);
-    table.attempt_sent(ID, 0, Some(client));
+    table.record_attempt_sent(ID, 0, Some(client));
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
@@ -63,7 +63,7 @@
     assert_eq!(table.connection_of_attempt(ID, 0), None);
     let number = send_attempt(&mut table, Some(first));
     assert_eq!(table.connection_of_attempt(ID, number), Some(first));
-    assert_eq!(table.attempt_finished(ID, number), Some(ClientState::Waiting));
+    assert_eq!(table.record_attempt_finished(ID, number), Some(ClientState::Waiting));
     assert_eq!(table.connection_of_attempt(ID, number), None);
     let retry = send_attempt(&mut table, Some(second));
     assert_eq!(table.connection_of_attempt(ID, number), None);
@@ -79,7 +79,7 @@
     assert_eq!(table.take_client(ID), Some(client));
     table.remove_if_finished(ID);
     assert!(table.contains(ID));
-    assert_eq!(table.attempt_finished(ID, 0), Some(ClientState::NotWaiting));
+    assert_eq!(table.record_attempt_finished(ID, 0), Some(ClientState::NotWaiting));
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
@@ -116,7 +116,7 @@
     assert_eq!(table.take_client(ID), None, "no client waits for a response");
     table.remove_if_finished(ID);
     assert!(table.contains(ID), "its attempt is in flight");
-    assert_eq!(table.attempt_finished(ID, 0), Some(ClientState::NotWaiting));
+    assert_eq!(table.record_attempt_finished(ID, 0), Some(ClientState::NotWaiting));
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
@@ -142,11 +142,11 @@
     assert_eq!(table.connection_of_attempt(ID, first), Some(first_connection));
     assert_eq!(table.connection_of_attempt(ID, second), Some(second_connection));
     assert_eq!(table.connections(ID), [first_connection, second_connection]);
-    assert_eq!(table.attempt_finished(ID, second), Some(ClientState::Waiting));
+    assert_eq!(table.record_attempt_finished(ID, second), Some(ClientState::Waiting));
     assert_eq!(table.take_client(ID), Some(client));
     table.remove_if_finished(ID);
     assert_eq!(table.connections(ID), [first_connection], "the first attempt is still in flight");
-    assert_eq!(table.attempt_finished(ID, first), Some(ClientState::NotWaiting));
+    assert_eq!(table.record_attempt_finished(ID, first), Some(ClientState::NotWaiting));
     table.remove_if_finished(ID);
     assert!(!table.contains(ID));
 }
--- a/src/net/pooler/completions.rs
+++ b/src/net/pooler/completions.rs
@@ -26,7 +26,7 @@
         let AttemptTask { request: id, number, .. } = attempt;
         let outcome = completion.outcome;
         context.counters.attempt_outcomes.record(outcome);
-        let Some(client) = self.requests.attempt_finished(&id, number) else { return };
+        let Some(client) = self.requests.record_attempt_finished(&id, number) else { return };
         let response = final_response(outcome, completion.value);
         let result = AttemptResult {
             id: id.clone(),
