--- a/src/net/backend/connection/tests.rs
+++ b/src/net/backend/connection/tests.rs
@@ -12,7 +12,7 @@
 /// Far more bytes than fit into the buffers of both sockets.
 const STATEMENT_LENGTH: usize = 150_000;
 /// By how much the timeout stated in a query may exceed the time that the client still waits.
-const DEADLINE_SLACK: Duration = Duration::from_millis(150);
+const ALLOWED_TIMEOUT_EXCESS: Duration = Duration::from_millis(150);
 
 fn exchange_with_long_statement(started_at: Instant) -> Exchange {
     let text = format!("/* d=5000 */ SELECT '{}'", "x".repeat(STATEMENT_LENGTH)).into_boxed_str();
@@ -58,8 +58,11 @@
 fn an_unwritten_query_fails_before_its_stated_timeout_is_outdated() {
     let started_at = Instant::now();
     let (mut connection, _endpoint) = connection_with_blocked_query(started_at);
-    assert!(connection.state_deadline <= started_at + DEADLINE_SLACK, "the write deadline is too late");
-    let expired = connection.expire(started_at + DEADLINE_SLACK);
+    assert!(
+        connection.state_deadline <= started_at + ALLOWED_TIMEOUT_EXCESS,
+        "the write deadline is too late"
+    );
+    let expired = connection.expire(started_at + ALLOWED_TIMEOUT_EXCESS);
     assert_eq!(expired, ExchangeStatus::Failed(Outcome::ConnectFailed));
 }
 
@@ -68,7 +71,7 @@
     let started_at = Instant::now();
     let (mut connection, mut endpoint) = connection_with_blocked_query(started_at);
     std::thread::spawn(move || endpoint.read_to_end(&mut Vec::new()));
-    let late = started_at + 2 * DEADLINE_SLACK;
+    let late = started_at + 2 * ALLOWED_TIMEOUT_EXCESS;
     assert_eq!(connection.run_cycle(late), ExchangeStatus::Failed(Outcome::ConnectFailed));
 }
 
