--- a/src/net/frontend/connection_limit.rs
+++ b/src/net/frontend/connection_limit.rs
@@ -5,13 +5,13 @@
 use mio::net::TcpStream;
 
 use super::acceptor::AcceptStatus;
-use super::connection::Connection;
+use super::connection::ClientConnection;
 use super::connections::Capacity;
 use super::Frontend;
 use crate::net::{CancelKey, Context};
 
 impl Frontend {
-    /// Accepts the connections in the accept queue, as far as the connection limit allows.
+    /// Accepts connections until the accept queue is empty or no more can be accepted for now.
     pub fn accept(&mut self, context: &mut Context) {
         while self.acceptor.is_open() {
             if self.accept_next(context).is_break() {
@@ -71,7 +71,8 @@
         let _ = stream.set_nodelay(true);
         let cancel_key = CancelKey { process_id: self.rng.u32(..), secret: self.rng.u32(..) };
         let now = context.reactor.now();
-        let connection = Connection::new(stream, cancel_key, &self.budget, self.client_read_timeout, now);
+        let connection =
+            ClientConnection::new(stream, cancel_key, &self.budget, self.client_read_timeout, now);
         let id = self.connections.insert(connection);
         context.counters.clients_accepted += 1;
         self.ready(id, context);
--- a/src/net/frontend/session.rs
+++ b/src/net/frontend/session.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::deadline::ExpectedAction;
-use super::error::ConnectionClosed;
+use super::error::MustClose;
 use super::input::Input;
 use super::output::{FlushStatus, Output};
 use super::protocol_state::{Phase, ProtocolState};
@@ -50,30 +50,30 @@
         self.input.last_received_at().max(self.last_responded_at)
     }
 
-    /// Returns whether a query is running that a cancel request with this key refers to.
+    /// Returns `true` if a query is running that a cancel request with this key refers to.
     pub(super) fn is_cancelled_by(&self, key: CancelKey) -> bool {
         self.cancel_key == key && self.phase() == Phase::Busy
     }
 
-    /// Returns whether the running query is a blocking request, that is, a query with unread input behind it.
-    /// The input need not be a complete query.
+    /// Returns `true` if the running query is a blocking request, that is, a query with unread input behind
+    /// it. The input need not be a complete query.
     pub(super) fn has_blocking_request(&self) -> bool {
         self.phase() == Phase::Busy && !self.input.is_empty()
     }
 
-    /// Returns whether the session is between queries, with no input or output pending.
+    /// Returns `true` if the session is between queries, with no input or output pending.
     pub(super) fn is_idle(&self) -> bool {
         self.phase().is_reading() && self.input.is_empty() && self.output.is_empty()
     }
 
-    /// Returns whether the session has been idle for at least `timeout`. Sessions whose client has not sent a
-    /// query yet do not count as idle here, since the deadline for the first query applies to them.
+    /// Returns `true` if the session has been idle for at least `timeout`. Sessions whose client has not sent
+    /// a query yet do not count as idle here, since the deadline for the first query applies to them.
     pub(super) fn has_been_idle_for(&self, timeout: Duration, now: Instant) -> bool {
         self.state.has_queried() && self.is_idle() && now >= self.last_active_at() + timeout
     }
 
-    /// Returns whether every query received is answered, even if responses are not completely written yet. An
-    /// incomplete message does not count as a query, and neither does an empty query that waits for an
+    /// Returns `true` if every query received is answered, even if responses are not completely written yet.
+    /// An incomplete message does not count as a query, and neither does an empty query that waits for an
     /// endpoint, which remains unanswered.
     pub(super) fn is_drained(&self) -> bool {
         if self.phase() == Phase::Busy || self.phase().is_closing() {
@@ -111,18 +111,18 @@
         &mut self,
         source: &mut impl Read,
         now: Instant,
-    ) -> Result<ReadStatus, ConnectionClosed> {
+    ) -> Result<ReadStatus, MustClose> {
         self.input.read_from(source, now)
     }
 
-    /// Discards the available input, at most one buffer. Returns whether more may be left. Fails if the
+    /// Discards the available input, at most one buffer. Returns `true` if more may be left. Fails if the
     /// client has closed the connection.
-    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, ConnectionClosed> {
+    pub(super) fn discard_from(&mut self, source: &mut impl Read) -> Result<bool, MustClose> {
         self.input.discard_from(source)
     }
 
-    /// Writes as much output as the sink accepts without blocking.
-    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, ConnectionClosed> {
+    /// Writes output until the sink would block.
+    pub(super) fn write_to(&mut self, sink: &mut impl Write) -> Result<FlushStatus, MustClose> {
         self.output.write_to(sink)
     }
 
@@ -137,30 +137,27 @@
     }
 
     /// Appends the final response to the running query.
-    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response(&mut self, response: Response, now: Instant) -> Result<(), MustClose> {
         self.last_responded_at = now;
         self.state.finish_query();
         self.output.push_response(response)
     }
 
     /// Appends the response to an empty query that waited for an endpoint.
-    pub(super) fn add_response_to_waiting_empty_query(
-        &mut self,
-        now: Instant,
-    ) -> Result<(), ConnectionClosed> {
+    pub(super) fn add_response_to_waiting_empty_query(&mut self, now: Instant) -> Result<(), MustClose> {
         self.last_responded_at = now;
         self.add_response_to_empty_query()
     }
 
     /// Closes the session of a client that has missed its deadline. An incomplete message is answered with an
     /// error. Without pending input no error is sent, since it could be taken for the response to a query.
-    pub(super) fn close_timed_out(&mut self, counters: &mut Counters) -> Result<(), ConnectionClosed> {
+    pub(super) fn close_timed_out(&mut self, counters: &mut Counters) -> Result<(), MustClose> {
         if self.phase().is_closing() {
-            return Err(ConnectionClosed);
+            return Err(MustClose);
         }
         counters.client_timeouts += 1;
         if !self.output.is_empty() {
-            return Err(ConnectionClosed);
+            return Err(MustClose);
         }
         if !self.input.is_empty() {
             let message = "message not completed in time";
@@ -172,11 +169,8 @@
 
     /// Closes a session whose input buffer cannot grow to hold the rest of a message. Messages that exceed
     /// the maximum buffer size are rejected earlier, so the memory budget is exhausted, and the buffer would
-    /// hold its share of it indefinitely. Returns whether the session is being closed.
-    pub(super) fn close_if_out_of_memory(
-        &mut self,
-        counters: &mut Counters,
-    ) -> Result<bool, ConnectionClosed> {
+    /// hold its share of it indefinitely. Returns `true` if the session is being closed.
+    pub(super) fn close_if_out_of_memory(&mut self, counters: &mut Counters) -> Result<bool, MustClose> {
         let is_closing = self.phase().is_reading() && self.output.is_empty();
         if is_closing {
             self.close_with_error(sqlstate::OUT_OF_MEMORY, "no memory", counters)?;
@@ -195,7 +189,7 @@
         }
     }
 
-    fn add_response_to_empty_query(&mut self) -> Result<(), ConnectionClosed> {
+    fn add_response_to_empty_query(&mut self) -> Result<(), MustClose> {
         self.state.finish_empty_query();
         self.output.push_empty_query_response()
     }
@@ -206,7 +200,7 @@
         code: &str,
         message: &str,
         counters: &mut Counters,
-    ) -> Result<(), ConnectionClosed> {
+    ) -> Result<(), MustClose> {
         counters.malformed += 1;
         self.output.push_fatal_error(code, message)?;
         self.start_closing();
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -31,6 +31,8 @@
 /// File descriptors not available to connections: used for the listener, the poll instance, signals, standard
 /// error, the endpoint list watch and anything that the process opens temporarily.
 const RESERVED_DESCRIPTORS: usize = 16;
+/// The reserved file descriptors, and one each for a client and an endpoint.
+const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2;
 
 /// Why the pooler failed to start or stopped.
 #[derive(Debug, thiserror::Error)]
@@ -38,8 +40,11 @@
     /// The policy rejected its settings.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// The configured limit on file descriptors leaves none for clients.
-    #[error("`limits.sockets` is too low: no file descriptor is left for clients")]
+    /// The configured limit on file descriptors is below [`MIN_DESCRIPTORS`].
+    #[error(
+        "'limits.sockets' must be at least {MIN_DESCRIPTORS}: {RESERVED_DESCRIPTORS} file descriptors are \
+         reserved, and clients and endpoints need at least one each"
+    )]
     TooFewSockets,
     /// A system call failed.
     #[error(transparent)]
@@ -47,13 +52,13 @@
 }
 
 impl ServeError {
-    /// Returns whether retrying the start may succeed.
+    /// Returns `true` if another attempt to start may succeed.
     fn is_transient(&self) -> bool {
         matches!(self, ServeError::Io(error) if is_transient(error))
     }
 }
 
-/// Maximum number of connections on each side.
+/// Maximum number of client and backend connections.
 struct ConnectionLimits {
     clients: usize,
     backend: usize,
@@ -76,26 +81,26 @@
 /// Serves clients until a graceful shutdown is complete. `path` is the file that `config` was read from; it
 /// is read again on reload.
 pub(crate) fn serve(config: &Config, path: &Path) -> Result<(), ServeError> {
-    let Started { mut poll, mut context, mut pooler } =
+    let StartedPooler { mut poll, mut context, mut pooler } =
         retry(|| start(config, path), ServeError::is_transient)?;
     reactor::run(&mut poll, &mut pooler, &mut context)?;
     tracing::info!(name = %config.name, "shut down: {}", context.counters);
     Ok(())
 }
 
-/// A pooler that is ready to run.
-struct Started {
+/// A pooler that is ready to run, with its event loop.
+struct StartedPooler {
     poll: Poll,
     context: Context,
     pooler: Pooler,
 }
 
-fn start(config: &Config, path: &Path) -> Result<Started, ServeError> {
+fn start(config: &Config, path: &Path) -> Result<StartedPooler, ServeError> {
     let poll = Poll::new()?;
     let reactor = Reactor::new(&poll)?;
     let mut context = Context { reactor, events: VecDeque::new(), counters: Counters::default() };
     let pooler = Pooler::new(config, path, &mut context)?;
-    Ok(Started { poll, context, pooler })
+    Ok(StartedPooler { poll, context, pooler })
 }
 
 impl Pooler {
