--- a/tests/loopback/attempts.rs
+++ b/tests/loopback/attempts.rs
@@ -42,7 +42,7 @@
 #[case::during_the_response(FailurePoint::DuringResponse, "connect_failed=0 connection_reset=1")]
 fn a_read_is_retried_on_another_host_when_its_connection_fails(
     #[case] failure: FailurePoint,
-    #[case] counted: &str,
+    #[case] expected_counters: &str,
 ) {
     let near = DatabaseHost::new();
     let far = DatabaseHost::new();
@@ -54,7 +54,7 @@
     backend.expect_request("1");
     backend.send_result(BINARY_VALUE, Role::Reader);
     client.expect_result();
-    pooler.expect_counters(counted);
+    pooler.expect_counters(expected_counters);
 }
 
 /// If the whole value has arrived before the reset, it is served and the read is not retried.
@@ -176,7 +176,10 @@
 #[case::not_the_primary("25006", "ineligible=1")]
 #[case::replica_too_old("72000", "ineligible=1")]
 #[case::internal_error("XX000", "error=1")]
-fn the_sqlstate_of_a_host_decides_the_outcome_of_the_attempt(#[case] sqlstate: &str, #[case] counted: &str) {
+fn the_sqlstate_of_a_host_determines_the_outcome_of_the_attempt(
+    #[case] sqlstate: &str,
+    #[case] expected_counters: &str,
+) {
     let near = DatabaseHost::new();
     let far = DatabaseHost::new();
     let (pooler, _discovery) = start_with_two_hosts(&near, &far);
@@ -189,14 +192,14 @@
     backend.receive_query();
     backend.send_result(BINARY_VALUE, Role::Reader);
     client.expect_result();
-    pooler.expect_counters(counted);
+    pooler.expect_counters(expected_counters);
 }
 
 #[rstest]
 #[case::syntax_error("42601")]
 #[case::invalid_text_representation("22P02")]
 #[case::feature_not_supported("0A000")]
-fn an_error_in_the_statement_is_not_retried_and_not_held_against_the_host(#[case] sqlstate: &str) {
+fn an_error_in_the_statement_is_not_retried_and_does_not_count_against_the_host(#[case] sqlstate: &str) {
     let near = DatabaseHost::new();
     let far = DatabaseHost::new();
     let (pooler, _discovery) = start_with_two_hosts(&near, &far);
@@ -220,7 +223,7 @@
 }
 
 #[test]
-fn a_rejection_tells_the_client_when_to_retry() {
+fn a_rejection_carries_a_retry_after() {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut client = connect_client(&pooler);
--- a/tests/loopback/backend_pool.rs
+++ b/tests/loopback/backend_pool.rs
@@ -11,7 +11,7 @@
     let mut client = connect_client(&pooler);
     let mut closed = complete_read(&host, &mut client);
     closed.stream.shutdown(Shutdown::Write).unwrap();
-    closed.expect_end();
+    closed.expect_closed();
     client.send(&Request::new("2", "reports").message());
     let mut backend = host.accept();
     backend.expect_request("2");
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_keepalive_of_the_host_ends() {
+fn an_idle_connection_is_closed_before_the_keepalive_time_of_its_host_ends() {
     let host = DatabaseHost::new();
     let short_keepalive = Edit { from: r#""keepalive":15"#, to: r#""keepalive":0.5"# };
     let (pooler, _discovery) = start_with_one_host(&host, &[short_keepalive]);
-    complete_read(&host, &mut connect_client(&pooler)).expect_end();
+    complete_read(&host, &mut connect_client(&pooler)).expect_closed();
 }
--- a/tests/loopback/cancellation.rs
+++ b/tests/loopback/cancellation.rs
@@ -7,27 +7,27 @@
 /// The pooler once stopped reading from a client with too much unread input, and so did not see that the
 /// client had disconnected. The attempt for its query went on.
 #[rstest]
-#[case::nothing_unread(0)]
-#[case::more_unread_than_is_buffered(2000)]
-fn the_attempt_of_a_client_that_disconnects_is_abandoned(#[case] queries_behind: usize) {
+#[case::no_unread_input(0)]
+#[case::more_unread_input_than_is_buffered(2000)]
+fn the_attempt_of_a_client_that_disconnects_is_cancelled(#[case] pipelined_queries: usize) {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut client = connect_client(&pooler);
     client.send(&Request::new("1", "reports").message());
     let mut backend = host.accept();
     backend.receive_query();
-    client.send(&Request::new("2", "reports").message().repeat(queries_behind));
+    client.send(&Request::new("2", "reports").message().repeat(pipelined_queries));
     drop(client);
-    backend.expect_end();
+    backend.expect_closed();
     pooler.expect_counters(
         " client_disconnects=1 client_timeouts=0 idle_closed=0 backend_connects=1 attempts_sent=1 success=0",
     );
 }
 
 #[rstest]
-#[case::sender_waits_for_the_end(false)]
-#[case::sender_hangs_up_at_once(true)]
-fn a_cancel_request_ends_the_query_only_if_its_key_is_right(#[case] hangs_up: bool) {
+#[case::sender_waits_for_the_close(false)]
+#[case::sender_disconnects_at_once(true)]
+fn a_cancel_request_ends_the_query_only_if_its_key_is_right(#[case] disconnects_at_once: bool) {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let (mut client, cancel_request) = connect_client_with_cancel_request(&pooler);
@@ -37,8 +37,8 @@
     let send_once = |message: &[u8]| {
         let mut sender = connect_without_startup(&pooler);
         sender.send(message);
-        if !hangs_up {
-            sender.expect_end();
+        if !disconnects_at_once {
+            sender.expect_closed();
         }
     };
     let mut wrong_key = cancel_request.clone();
@@ -46,7 +46,7 @@
     send_once(&wrong_key);
     send_once(&cancel_request);
     client.expect_error("57014");
-    backend.expect_end();
+    backend.expect_closed();
     // The client stays connected.
     complete_read(&host, &mut client);
     pooler.expect_counters(" cancelled=1");
@@ -57,7 +57,7 @@
 #[rstest]
 #[case::cancelled(true)]
 #[case::disconnected(false)]
-fn a_queued_query_whose_client_has_gone_is_not_sent(#[case] cancels: bool) {
+fn a_queued_query_is_not_sent_after_its_client_has_cancelled_or_disconnected(#[case] cancels: bool) {
     let host = DatabaseHost::new();
     let (pooler, _discovery, _primary) = start_with_known_clock(&host, &[HEALTH_CHECKS]);
     let (mut waiting, cancel_request) = connect_client_with_cancel_request(&pooler);
@@ -86,7 +86,7 @@
 /// complete the step that it was in before it can see the end of the client.
 #[cfg(target_os = "linux")]
 #[test]
-fn a_query_is_not_sent_if_its_client_has_disconnected_while_the_pooler_was_held_up() {
+fn a_query_is_not_sent_if_its_client_has_disconnected_while_the_pooler_was_stopped() {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut client = connect_client(&pooler);
@@ -97,5 +97,5 @@
     // Not a drop: a process that another test is starting may hold a copy of the descriptor for a moment.
     client.stream.shutdown(std::net::Shutdown::Both).unwrap();
     pooler.signal(Signal::Continue);
-    backend.expect_end_without_query();
+    backend.expect_closed_without_query();
 }
--- a/tests/loopback/client_limits.rs
+++ b/tests/loopback/client_limits.rs
@@ -10,44 +10,44 @@
 #[test]
 fn at_the_connection_limit_idle_clients_are_closed_and_busy_ones_are_not() {
     let host = DatabaseHost::new();
-    let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENTS]);
+    let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENT_LIMIT]);
     let mut clients: Vec<Connection> = (0..3).map(|_| connect_client(&pooler)).collect();
     // The limit is three clients: none of them is closed before a fourth connects.
     pooler.expect_counters("clients_accepted=3");
     clients.push(connect_client(&pooler));
     // The first has been idle for longest.
-    clients.remove(0).expect_end();
+    clients.remove(0).expect_closed();
     let mut backends = start_reads(&host, &mut clients);
-    let mut late = connect_without_startup(&pooler);
-    late.send(&startup());
+    let mut fourth = connect_without_startup(&pooler);
+    fourth.send(&startup_message());
     pooler.wait_for_log("all client connections are busy: new connections wait");
     backends[1].send_result(BINARY_VALUE, Role::Reader);
     clients[1].expect_result();
     // The late client takes the place of the one that is idle now.
-    late.receive_response();
-    clients[1].expect_end();
+    fourth.receive_response();
+    clients[1].expect_closed();
 }
 
 /// An idle client was once closed to make room for a new one although its next query had already arrived. The
 /// query was lost unread.
 #[test]
-fn a_client_whose_query_has_arrived_is_not_closed_to_make_room() {
+fn a_client_whose_query_has_arrived_is_not_closed_for_a_new_client() {
     let host = DatabaseHost::new();
-    let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENTS]);
+    let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENT_LIMIT]);
     let mut clients: Vec<Connection> = (0..3).map(|_| connect_client(&pooler)).collect();
     let mut backend = complete_read(&host, &mut clients[1]);
     // While the pooler is stopped, a new client connects and then the client that is idle for longest sends a
     // query.
     pooler.signal(Signal::Stop);
-    let mut new = connect_without_startup(&pooler);
+    let mut new_client = connect_without_startup(&pooler);
     clients[0].send(&Request::new("1", "reports").message());
     pooler.signal(Signal::Continue);
     backend.expect_request("1");
     backend.send_result(BINARY_VALUE, Role::Reader);
     clients[0].expect_result();
-    new.send(&startup());
-    new.receive_response();
-    clients[2].expect_end_without_reset();
+    new_client.send(&startup_message());
+    new_client.receive_response();
+    clients[2].expect_closed_without_reset();
 }
 
 /// The first bytes of a query, without its end.
@@ -57,10 +57,10 @@
 
 #[rstest]
 #[case::nothing(vec![], None)]
-#[case::partial_startup(startup()[..7].to_vec(), Some("08P01"))]
-#[case::startup_only(startup(), None)]
-#[case::partial_query([startup(), partial_query()].concat(), Some("08P01"))]
-#[case::message_that_is_no_query([startup(), encode_message(message_type::FLUSH, b"")].concat(), None)]
+#[case::partial_startup(startup_message()[..7].to_vec(), Some("08P01"))]
+#[case::startup_only(startup_message(), None)]
+#[case::partial_query([startup_message(), partial_query()].concat(), Some("08P01"))]
+#[case::message_other_than_a_query([startup_message(), encode_message(message_type::FLUSH, b"")].concat(), None)]
 fn a_client_that_never_completes_a_query_is_closed(#[case] sent: Vec<u8>, #[case] sqlstate: Option<&str>) {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
@@ -68,30 +68,30 @@
     complete_read(&host, &mut active);
     let mut silent = connect_without_startup(&pooler);
     silent.send(&sent);
-    let startup_is_complete = sent.len() >= startup().len();
+    let startup_is_complete = sent.len() >= startup_message().len();
     if startup_is_complete {
         silent.receive_response();
     }
     if let Some(sqlstate) = sqlstate {
         silent.expect_error(sqlstate);
     }
-    silent.expect_end();
+    silent.expect_closed();
     // A client that has sent a query may be idle.
     complete_read(&host, &mut active);
     pooler.expect_counters(" client_timeouts=1 ");
 }
 
 #[test]
-fn an_idle_client_is_closed_after_its_query_once_places_run_out() {
+fn an_idle_client_is_closed_after_its_query_while_many_clients_are_connected() {
     let host = DatabaseHost::new();
-    let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENTS]);
+    let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENT_LIMIT]);
     let mut idle = connect_client(&pooler);
     let mut busy = connect_client(&pooler);
     busy.send(&Request::new("1", "reports").message());
     let mut busy_backend = host.accept();
     busy_backend.receive_query();
     let mut idle_backend = complete_read(&host, &mut idle);
-    idle.expect_end_without_reset();
+    idle.expect_closed_without_reset();
     // A query that crosses the close is not forwarded. It causes no reset either, which could overtake a
     // response.
     idle.send(&Request::new("2", "reports").message());
@@ -108,24 +108,26 @@
 }
 
 /// The number of malformed queries so far.
-fn malformed_queries(pooler: &Pooler) -> u64 {
+fn malformed_query_count(pooler: &Pooler) -> u64 {
     let counters = pooler.counters();
     let after_name = counters.split("malformed=").nth(1).unwrap();
     after_name.split(' ').next().unwrap().parse().unwrap()
 }
 
 #[test]
-fn a_client_that_sends_without_pause_does_not_starve_others() {
+fn a_client_that_sends_continuously_does_not_starve_others() {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
-    let mut usual = connect_client(&pooler);
+    let mut normal = connect_client(&pooler);
     let mut flooding = connect_client(&pooler);
     let mut responses = flooding.stream.try_clone().unwrap();
     std::thread::spawn(move || std::io::copy(&mut responses, &mut std::io::sink()));
-    std::thread::spawn(move || while flooding.stream.write_all(&query("SELECT 1").repeat(1000)).is_ok() {});
+    std::thread::spawn(
+        move || while flooding.stream.write_all(&query_message("SELECT 1").repeat(1000)).is_ok() {},
+    );
     // Waits until the flood has reached the pooler.
-    while malformed_queries(&pooler) < 1000 {}
-    complete_read(&host, &mut usual);
+    while malformed_query_count(&pooler) < 1000 {}
+    complete_read(&host, &mut normal);
 }
 
 #[test]
@@ -157,7 +159,7 @@
 /// The error once waited for the next event of the connection, which never comes from a client that has
 /// stopped.
 #[test]
-fn a_client_that_stops_in_a_query_for_which_there_is_no_memory_is_told() {
+fn a_client_that_stalls_in_a_query_that_does_not_fit_into_memory_gets_an_error() {
     let host = DatabaseHost::new();
     let one_megabyte = Edit { from: r#""memory_mb":192"#, to: r#""memory_mb":1"# };
     let (pooler, _discovery) = start_with_one_host(&host, &[one_megabyte]);
@@ -176,17 +178,17 @@
     for length in [query.len() - 1, 30_000] {
         let mut client = connect_client(&pooler);
         client.send(&query[..length]);
-        pooler.wait_until_caught_up();
+        pooler.wait_until_events_handled();
         unfinished.push(client);
     }
-    let mut stopped = connect_client(&pooler);
+    let mut stalled = connect_client(&pooler);
     // The pooler finds all at once, so that no event follows.
     pooler.signal(Signal::Stop);
-    stopped.send(&query[..50_000]);
+    stalled.send(&query[..50_000]);
     pooler.signal(Signal::Continue);
-    stopped.stream.set_read_timeout(Some(BAD_CLIENT_LIMIT)).unwrap();
-    stopped.expect_error("53200");
+    stalled.stream.set_read_timeout(Some(INVALID_CLIENT_TIMEOUT)).unwrap();
+    stalled.expect_error("53200");
 }
 
 /// Within this time a client that sends what cannot be used is owed an error or the end of its connection.
-const BAD_CLIENT_LIMIT: Duration = Duration::from_secs(3);
+const INVALID_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
--- a/tests/loopback/client_protocol.rs
+++ b/tests/loopback/client_protocol.rs
@@ -73,7 +73,7 @@
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut client = connect_client(&pooler);
-    client.send(&query(sql));
+    client.send(&query_message(sql));
     client.expect_error(sqlstate);
     // The client stays connected, and the host's first query is the next one.
     complete_read(&host, &mut client);
@@ -105,7 +105,7 @@
     let mut broken = connect_client(&pooler);
     broken.send(bytes);
     broken.expect_error(sqlstate);
-    broken.expect_end();
+    broken.expect_closed();
     complete_read(&host, &mut connect_client(&pooler));
 }
 
@@ -122,7 +122,7 @@
         stream.write_all(&vec![0; 16 << 20])
     });
     broken.expect_error("54000");
-    broken.expect_end_without_reset();
+    broken.expect_closed_without_reset();
     sender.join().unwrap().expect("the pooler reads all of it");
     complete_read(&host, &mut connect_client(&pooler));
 }
@@ -138,11 +138,11 @@
     for client in &mut broken {
         client.send(&TOO_SHORT_QUERY_HEADER);
         client.expect_error("08P01");
-        client.expect_end_without_reset();
+        client.expect_closed_without_reset();
     }
     // They keep their side open. A client that comes now and sends no query is closed after all of them.
-    connect_client(&pooler).expect_end();
-    assert!(pooler.processor_seconds() < 0.5, "{} s", pooler.processor_seconds());
+    connect_client(&pooler).expect_closed();
+    assert!(pooler.cpu_seconds() < 0.5, "{} s", pooler.cpu_seconds());
 }
 
 #[test]
@@ -156,9 +156,9 @@
     client.stream.read_exact(&mut byte).unwrap();
     assert_eq!(byte, [ENCRYPTION_DECLINED]);
     // The query follows the startup message without waiting.
-    client.send(&[startup(), query("")].concat());
+    client.send(&[startup_message(), query_message("")].concat());
     client.receive_response();
-    pooler.wait_until_caught_up();
+    pooler.wait_until_events_handled();
     client.stream.set_nonblocking(true).unwrap();
     assert!(client.stream.peek(&mut byte).is_err(), "answered before there was a list");
     client.stream.set_nonblocking(false).unwrap();
--- a/tests/loopback/clocks.rs
+++ b/tests/loopback/clocks.rs
@@ -82,7 +82,7 @@
 
 /// The pooler once compared log positions with its own clock, so that no replica was ever fresh enough.
 #[rstest]
-fn a_fresh_replica_gets_the_reads_however_wrong_the_clock_is(
+fn a_fresh_replica_gets_the_bounded_reads_under_clock_skew(
     #[values(-HOUR_MS, -5000, -500, 0, 500, 5000, HOUR_MS)] offset_ms: i64,
 ) {
     let at_replica = bounded_reads_at_replica(offset_ms, 10);
@@ -91,7 +91,7 @@
 
 /// A position that is 6 s old passed for 1 s old where the pooler's clock was 5 s behind.
 #[rstest]
-fn a_replica_that_lags_gets_no_bounded_read_however_wrong_the_clock_is(
+fn a_lagging_replica_gets_no_bounded_read_under_clock_skew(
     #[values(-HOUR_MS, -5000, 0, 5000, HOUR_MS)] offset_ms: i64,
     #[values(3200, 6000)] lag_ms: i64,
 ) {
@@ -100,20 +100,20 @@
 
 /// A host that has just started once passed for a warm one where the pooler's clock was ahead.
 #[rstest]
-fn a_host_that_has_just_started_is_warming_up_however_wrong_the_clock_is(
+fn a_host_that_has_just_started_is_in_slow_start_under_clock_skew(
     #[values(-HOUR_MS, -5000, 0, 5000, HOUR_MS)] offset_ms: i64,
 ) {
     let (primary, replica) = start_cluster(offset_ms, 10);
     let started_ms = unix_time().as_millis() as i64 + offset_ms - 500;
     let slow_start = Edit { from: r#""warmUp":1"#, to: r#""warmUp":60"# };
     let (pooler, _discovery) =
-        start_pooler(primary.entry, replica.entry.with_start(started_ms), &[slow_start]);
+        start_pooler(primary.entry, replica.entry.with_start_time(started_ms), &[slow_start]);
     let mut client = connect_client(&pooler);
     for number in 0..200 {
         read(&mut client, number, "reports");
     }
-    let share = replica.answered.load(Ordering::Relaxed);
-    assert!((1..100).contains(&share), "{share} of 200 at a fifth of the capacity");
+    let at_replica = replica.answered.load(Ordering::Relaxed);
+    assert!((1..100).contains(&at_replica), "{at_replica} of 200 at a fifth of the capacity");
 }
 
 /// With this setting, clients carry the commit position that a session's read has to see.
@@ -122,12 +122,12 @@
 
 /// The replica lags by half a second, so that it never has the commit of the write before.
 #[rstest]
-fn a_session_sees_its_write_however_wrong_the_clock_is(
+fn a_session_sees_its_writes_under_clock_skew(
     #[values(-HOUR_MS, -5000, 0, 5000, HOUR_MS)] offset_ms: i64,
-    #[values(false, true)] is_carried: bool,
+    #[values(false, true)] client_carries_position: bool,
 ) {
     let (primary, replica) = start_cluster(offset_ms, 500);
-    let edits = if is_carried { vec![CARRIED_POSITIONS] } else { Vec::new() };
+    let edits = if client_carries_position { vec![CARRIED_POSITIONS] } else { Vec::new() };
     let (pooler, _discovery) = start_pooler(primary.entry, replica.entry, &edits);
     let mut client = connect_client(&pooler);
     for number in 0..READS {
@@ -136,7 +136,7 @@
         let committed_at = unix_time().as_millis() as i64 + offset_ms;
         let before = replica.answered.load(Ordering::Relaxed);
         let request = Request::new(format!("s{number}"), "own-orders");
-        let request = if is_carried { request.after(committed_at) } else { request };
+        let request = if client_carries_position { request.after(committed_at) } else { request };
         client.send(&request.message());
         client.expect_result();
         assert_eq!(replica.answered.load(Ordering::Relaxed), before, "read {number} missed its write");
@@ -145,7 +145,7 @@
 
 /// Reads that must see every commit go to the primary.
 #[rstest]
-fn a_strong_read_goes_to_the_primary_however_wrong_the_clock_is(#[values(-HOUR_MS, HOUR_MS)] offset_ms: i64) {
+fn a_strong_read_goes_to_the_primary_under_clock_skew(#[values(-HOUR_MS, HOUR_MS)] offset_ms: i64) {
     let (primary, replica) = start_cluster(offset_ms, 0);
     let strong =
         Edit { from: r#"["bounded","session","any","write"]"#, to: r#"["fresh","session","any","write"]"# };
--- a/tests/loopback/deadlines.rs
+++ b/tests/loopback/deadlines.rs
@@ -11,7 +11,7 @@
     let mut backend = host.accept();
     backend.receive_query();
     client.expect_error("53300");
-    backend.expect_end();
+    backend.expect_closed();
 }
 
 /// The time of a query behind another on its connection once started only when its turn came, so that it was
@@ -28,7 +28,7 @@
     let second = Request::new("2", "reports").deadline_ms(400);
     let third = Request::new("3", "reports");
     pipelining.send(&[second.message(), third.message()].concat());
-    pooler.wait_until_caught_up();
+    pooler.wait_until_events_handled();
     // The fourth request is sent later and has more time than the second. Once it has expired, so has the
     // second.
     other.send(&Request::new("4", "reports").deadline_ms(500).message());
--- a/tests/loopback/harness/client.rs
+++ b/tests/loopback/harness/client.rs
@@ -2,7 +2,7 @@
 
 use std::net::TcpStream;
 
-use super::wire::{cancel_request, message_type, startup};
+use super::wire::{cancel_request, message_type, startup_message};
 use super::{Connection, Pooler};
 
 /// The length of the key in BackendKeyData: a process number and a secret.
@@ -16,7 +16,7 @@
 /// Connects a client and completes its startup.
 pub fn connect_client(pooler: &Pooler) -> Connection {
     let mut client = connect_without_startup(pooler);
-    client.send(&startup());
+    client.send(&startup_message());
     client.receive_response();
     client
 }
@@ -24,7 +24,7 @@
 /// Connects a client. Returns it with the request by which anyone can cancel its query.
 pub fn connect_client_with_cancel_request(pooler: &Pooler) -> (Connection, Vec<u8>) {
     let mut client = connect_without_startup(pooler);
-    client.send(&startup());
+    client.send(&startup_message());
     let mut response = client.receive_response().into_iter();
     let key = response.find(|message| message.kind == message_type::BACKEND_KEY_DATA).expect("a key").body;
     assert_eq!(key.len(), CANCEL_KEY_LENGTH);
--- a/tests/loopback/harness/connection.rs
+++ b/tests/loopback/harness/connection.rs
@@ -99,13 +99,13 @@
 
     /// Waits for the end of the connection, which has to come without further bytes and not by a reset.
     #[track_caller]
-    pub fn expect_end_without_reset(&mut self) {
+    pub fn expect_closed_without_reset(&mut self) {
         assert_eq!(self.read_byte().expect("no reset"), 0);
     }
 
     /// Waits for the end of the connection, by a reset or not, which has to come without further bytes.
     #[track_caller]
-    pub fn expect_end(&mut self) {
+    pub fn expect_closed(&mut self) {
         match self.read_byte() {
             Ok(0) => {}
             Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
@@ -115,7 +115,7 @@
 
     /// Requires that the pooler ends the connection and sends no query before that.
     #[track_caller]
-    pub fn expect_end_without_query(&mut self) {
+    pub fn expect_closed_without_query(&mut self) {
         let message = self.receive();
         assert!(message.is_none(), "{message:?} instead of the end of the connection");
     }
--- a/tests/loopback/harness/database_host.rs
+++ b/tests/loopback/harness/database_host.rs
@@ -68,7 +68,7 @@
 }
 
 /// The answer to a startup message.
-pub fn session_start() -> Vec<u8> {
+pub fn startup_response() -> Vec<u8> {
     let authentication_ok = encode_message(message_type::AUTHENTICATION, &AUTHENTICATION_OK);
     [authentication_ok, ready_for_query()].concat()
 }
@@ -76,7 +76,7 @@
 impl Connection {
     /// Answers the startup message, after which the pooler may send a query.
     pub fn complete_startup(&mut self) {
-        self.send(&session_start());
+        self.send(&startup_response());
     }
 
     /// The statement of the next message, which has to be a query.
--- a/tests/loopback/harness/discovery.rs
+++ b/tests/loopback/harness/discovery.rs
@@ -37,7 +37,7 @@
     }
 
     /// Sets when the host last started.
-    pub fn with_start(self, since_ms: i64) -> EndpointEntry {
+    pub fn with_start_time(self, since_ms: i64) -> EndpointEntry {
         EndpointEntry { since_ms, ..self }
     }
 
@@ -105,11 +105,11 @@
 
     /// Accepts the next call and reads the head of its request.
     pub fn accept(&self) -> Watch {
-        self.next_call().expect("the pooler calls")
+        self.next_watch().expect("the pooler calls")
     }
 
     /// The next call, of which the head is read; none if there is none for a long time, or it breaks.
-    pub fn next_call(&self) -> Option<Watch> {
+    pub fn next_watch(&self) -> Option<Watch> {
         let (mut stream, _) = self.listener.accept().ok()?;
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
--- a/tests/loopback/harness/pooler.rs
+++ b/tests/loopback/harness/pooler.rs
@@ -13,7 +13,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pg-pooler");
 
 /// How many poolers the tests have started. Gives each configuration file a name of its own.
-static STARTED: AtomicU64 = AtomicU64::new(0);
+static POOLERS_STARTED: AtomicU64 = AtomicU64::new(0);
 
 /// Clock ticks per second in the files of `/proc`.
 #[cfg(target_os = "linux")]
@@ -69,7 +69,11 @@
 
     /// Starts the program under an operating system limit of `count` file descriptors. The limit in its
     /// configuration stays higher.
-    pub fn start_with_descriptors(count: u32, known: &EndpointList, discovery: &DiscoveryService) -> Pooler {
+    pub fn start_with_descriptor_limit(
+        count: u32,
+        known: &EndpointList,
+        discovery: &DiscoveryService,
+    ) -> Pooler {
         let mut command = Command::new("sh");
         command.arg("-c").arg(format!("ulimit -n {count}; exec \"$0\" \"$@\"")).arg(PROGRAM);
         Pooler::start_command(command, known, discovery, &[])
@@ -81,7 +85,7 @@
         discovery: &DiscoveryService,
         edits: &[Edit],
     ) -> Pooler {
-        let number = STARTED.fetch_add(1, Ordering::Relaxed);
+        let number = POOLERS_STARTED.fetch_add(1, Ordering::Relaxed);
         let file = format!("pg-pooler-{}-{number}.json", std::process::id());
         let path = std::env::temp_dir().join(file);
         std::fs::write(&path, configuration(known, discovery.address(), edits)).unwrap();
@@ -124,7 +128,7 @@
     }
 
     /// Edits the configuration file, if it contains what is to be replaced, and makes the pooler reload it.
-    pub fn reload_if_contained(&self, from: &str, to: &str) {
+    pub fn reload_with_replacement(&self, from: &str, to: &str) {
         let text = std::fs::read_to_string(&self.configuration).unwrap();
         std::fs::write(&self.configuration, text.replace(from, to)).unwrap();
         self.signal(Signal::Hangup);
@@ -145,7 +149,7 @@
     /// sent to it before. What is sent to it now is reported by one poll after [`Signal::Continue`].
     #[cfg(target_os = "linux")]
     pub fn stop_while_idle(&self) {
-        self.wait_until_caught_up();
+        self.wait_until_events_handled();
         self.wait_for_state(SLEEPING);
         self.signal(Signal::Stop);
         self.wait_for_state(STOPPED);
@@ -184,14 +188,14 @@
     }
 
     /// Waits until the pooler has handled all that was sent to it so far.
-    pub fn wait_until_caught_up(&self) {
+    pub fn wait_until_events_handled(&self) {
         self.counters();
     }
 
     /// The processor time of the process so far: its time in user mode and in the kernel, which are the 14th
     /// and the 15th field of the file.
     #[cfg(target_os = "linux")]
-    pub fn processor_seconds(&self) -> f64 {
+    pub fn cpu_seconds(&self) -> f64 {
         let fields_from_third = self.stat_fields();
         let ticks = fields_from_third.iter().skip(11).take(2);
         ticks.map(|ticks| ticks.parse::<f64>().unwrap() / TICKS_PER_SECOND).sum()
--- a/tests/loopback/harness/request.rs
+++ b/tests/loopback/harness/request.rs
@@ -1,6 +1,6 @@
 //! Statements with the comment in which clients describe their request.
 
-use super::wire::query;
+use super::wire::query_message;
 
 /// The time that a request has by default, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 8500;
@@ -60,7 +60,7 @@
 
     /// The Query message.
     pub fn message(&self) -> Vec<u8> {
-        query(&self.sql())
+        query_message(&self.sql())
     }
 }
 
--- a/tests/loopback/harness/setup.rs
+++ b/tests/loopback/harness/setup.rs
@@ -11,7 +11,7 @@
 pub const BINARY_VALUE: &[u8] = b"\x9f\x00\x03";
 
 /// Leaves places for three clients beside the reserved descriptors.
-pub const THREE_CLIENTS: Edit = Edit { from: r#""sockets":1024"#, to: r#""sockets":22"# };
+pub const THREE_CLIENT_LIMIT: Edit = Edit { from: r#""sockets":1024"#, to: r#""sockets":22"# };
 
 /// Enables health checks.
 pub const HEALTH_CHECKS: Edit = Edit { from: r#""probes":false"#, to: r#""probes":true"# };
--- a/tests/loopback/harness/wire.rs
+++ b/tests/loopback/harness/wire.rs
@@ -58,12 +58,12 @@
 }
 
 /// A Query message.
-pub fn query(sql: &str) -> Vec<u8> {
+pub fn query_message(sql: &str) -> Vec<u8> {
     encode_message(message_type::QUERY, &[sql.as_bytes(), b"\0"].concat())
 }
 
 /// The startup message of a client.
-pub fn startup() -> Vec<u8> {
+pub fn startup_message() -> Vec<u8> {
     let version_and_parameters = b"\0\x03\0\0user\0app\0database\0shop\0\0";
     let length = version_and_parameters.len() as u32 + 4;
     [&length.to_be_bytes()[..], version_and_parameters].concat()
--- a/tests/loopback/hedging.rs
+++ b/tests/loopback/hedging.rs
@@ -38,21 +38,21 @@
 /// Only the latest attempt of a request was known by its connection. The first one was sent once its
 /// connection came up, after the client had its answer.
 #[test]
-fn an_attempt_that_is_not_sent_yet_is_withdrawn_once_its_request_is_answered() {
+fn an_unsent_attempt_is_cancelled_once_its_request_is_answered() {
     let mut read = HedgedRead::start();
     read.second.send_result(BINARY_VALUE, Role::Reader);
     read.client.expect_result();
-    read.pooler.wait_until_caught_up();
+    read.pooler.wait_until_events_handled();
     read.first.complete_startup();
-    read.first.expect_end_without_query();
+    read.first.expect_closed_without_query();
 }
 
 #[test]
-fn all_attempts_of_a_client_that_disconnects_are_abandoned() {
+fn all_attempts_of_a_client_that_disconnects_are_cancelled() {
     let mut read = HedgedRead::start();
     drop(read.client);
-    read.second.expect_end();
+    read.second.expect_closed();
     read.first.complete_startup();
-    read.first.expect_end_without_query();
+    read.first.expect_closed_without_query();
     read.pooler.expect_counters(" cancelled=2 ");
 }
--- a/tests/loopback/malformed_responses.rs
+++ b/tests/loopback/malformed_responses.rs
@@ -22,7 +22,7 @@
 }
 
 #[rstest]
-#[case::noise(b"\x9f\x03\x00\xfe\xc1".to_vec())]
+#[case::invalid_bytes(b"\x9f\x03\x00\xfe\xc1".to_vec())]
 #[case::http_status_line(b"HTTP/1.1 500 odd\r\n".to_vec())]
 #[case::oversized_row(oversized_row())]
 #[case::value_shorter_than_its_row(value_shorter_than_its_row())]
@@ -39,7 +39,7 @@
     malformed.receive_query();
     malformed.send(&response);
     // The connection is closed, and the read is retried on the other host well within its deadline of 8.5 s.
-    malformed.expect_end();
+    malformed.expect_closed();
     let mut backend = far.accept();
     backend.expect_request("1");
     backend.send_result(BINARY_VALUE, Role::Reader);
@@ -51,10 +51,10 @@
 
 #[rstest]
 #[case::second_response(&result_response(b"stray", Role::Reader))]
-#[case::noise(b"\x9f\x03\x00\xfe\xc1")]
+#[case::invalid_bytes(b"\x9f\x03\x00\xfe\xc1")]
 fn unsolicited_bytes_after_a_response_do_not_reach_the_next_request(
     #[case] unsolicited: &[u8],
-    #[values(false, true)] after_the_response_was_read: bool,
+    #[values(false, true)] sent_after_response_was_read: bool,
 ) {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
@@ -63,7 +63,7 @@
     let mut backend = host.accept();
     backend.receive_query();
     let response = result_response(BINARY_VALUE, Role::Reader);
-    if after_the_response_was_read {
+    if sent_after_response_was_read {
         backend.send(&response);
         client.expect_value(BINARY_VALUE);
         backend.send(unsolicited);
@@ -71,7 +71,7 @@
         backend.send(&[&response, unsolicited].concat());
         client.expect_value(BINARY_VALUE);
     }
-    backend.expect_end();
+    backend.expect_closed();
     complete_read(&host, &mut client);
     pooler.expect_counters(" malformed_answers=0 unsolicited_messages=1 ");
 }
--- a/tests/loopback/shutdown_and_reload.rs
+++ b/tests/loopback/shutdown_and_reload.rs
@@ -8,7 +8,7 @@
 use crate::harness::*;
 
 #[test]
-fn after_sigterm_queries_that_arrive_in_time_are_answered() {
+fn queries_that_arrive_during_the_grace_period_are_answered() {
     let host = DatabaseHost::new();
     let (mut pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut busy = connect_client(&pooler);
@@ -29,11 +29,11 @@
     idle.expect_result();
     new.expect_result();
     // Clients without a query in flight are closed. The response still due is delivered.
-    idle.expect_end();
-    new.expect_end();
+    idle.expect_closed();
+    new.expect_closed();
     busy_backend.send_result(BINARY_VALUE, Role::Reader);
     busy.expect_result();
-    busy.expect_end();
+    busy.expect_closed();
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
     assert!(pooler.wait_for_log("shut down: ").contains("served=3"));
 }
@@ -41,7 +41,7 @@
 /// Clients keep sending on connections that stay open. A query pipelined before the pooler stops taking
 /// queries is served, a later one is rejected at once, and one that crosses the close gets no response.
 #[test]
-fn a_busy_connection_takes_no_queries_after_the_grace_period() {
+fn a_busy_connection_accepts_no_queries_after_the_grace_period() {
     let host = DatabaseHost::new();
     let (mut pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut busy = connect_client(&pooler);
@@ -51,7 +51,7 @@
     let mut backend = host.accept();
     backend.receive_query();
     pooler.signal(Signal::Terminate);
-    idle.expect_end_without_reset();
+    idle.expect_closed_without_reset();
     // This query crosses the close of its connection. It is not read, and there is no reset.
     idle.send(&request("3"));
     busy.send(&request("4").repeat(2));
@@ -66,7 +66,7 @@
     for _ in 0..2 {
         assert_eq!(busy.receive_error(), shutting_down);
     }
-    busy.expect_end_without_reset();
+    busy.expect_closed_without_reset();
     busy.send(&request("5"));
     assert!(backend.receive().is_none());
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
@@ -103,19 +103,19 @@
     new_watch.send_list(&EndpointList::snapshot(1, [new.entry("s-1", "here")]));
     backend.send_result(BINARY_VALUE, Role::Reader);
     client.expect_result();
-    backend.expect_end();
+    backend.expect_closed();
     complete_read(&new, &mut client);
     // A reload during shutdown does not prevent the exit.
     pooler.signal(Signal::Terminate);
     pooler.signal(Signal::Hangup);
-    client.expect_end();
+    client.expect_closed();
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
 
 /// The file of a configuration was once read only once for each signal: where that failed, the pooler stayed
 /// with a discovery service that had moved.
 #[test]
-fn a_reload_is_tried_again_while_the_file_cannot_be_read() {
+fn a_reload_is_retried_while_the_file_cannot_be_read() {
     let host = DatabaseHost::new();
     let new_discovery = DiscoveryService::new();
     let (pooler, old_discovery) = start_with_one_host(&host, &[]);
@@ -129,13 +129,13 @@
 /// The listener was once closed at the end of the grace period although clients at the limit of connections
 /// still waited to be accepted. Their connections were reset with the queries in them.
 #[test]
-fn a_client_that_waits_for_a_place_during_the_shutdown_is_answered() {
+fn a_client_that_waits_to_be_accepted_during_the_shutdown_is_answered() {
     let host = DatabaseHost::new();
-    let (mut pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENTS]);
+    let (mut pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENT_LIMIT]);
     let mut clients: Vec<Connection> = (0..3).map(|_| connect_client(&pooler)).collect();
     let mut backends = start_reads(&host, &mut clients);
     let mut waiting = connect_without_startup(&pooler);
-    waiting.send(&[startup(), Request::new("3", "reports").message()].concat());
+    waiting.send(&[startup_message(), Request::new("3", "reports").message()].concat());
     pooler.wait_for_log("all client connections are busy: new connections wait");
     pooler.signal(Signal::Terminate);
     // Longer than the grace period, so that a reset would be seen.
@@ -145,11 +145,11 @@
     for (backend, client) in backends.iter_mut().zip(&mut clients) {
         backend.send_result(BINARY_VALUE, Role::Reader);
         client.expect_result();
-        client.expect_end();
+        client.expect_closed();
     }
     waiting.receive_response();
     waiting.expect_error("57P03");
-    waiting.expect_end();
+    waiting.expect_closed();
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
 
@@ -159,31 +159,31 @@
 /// A query that came during the shutdown behind another one once waited for that to end, which could take
 /// longer than the process had to live.
 #[test]
-fn a_query_behind_a_long_one_is_answered_before_the_process_may_be_killed() {
+fn a_query_pipelined_behind_a_long_one_is_answered_before_the_earliest_kill() {
     let host = DatabaseHost::new();
     let (mut pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut busy = connect_client(&pooler);
-    let mut alone = connect_client(&pooler);
+    let mut unblocked = connect_client(&pooler);
     let mut idle = connect_client(&pooler);
     let mut backends = Vec::new();
-    for (id, client) in [("1", &mut busy), ("2", &mut alone)] {
+    for (id, client) in [("1", &mut busy), ("2", &mut unblocked)] {
         client.send(&Request::new(id, "reports").message());
         let mut backend = host.accept();
         backend.expect_request(id);
         backends.push(backend);
     }
-    let asked_to_end = Instant::now();
+    let requested_at = Instant::now();
     pooler.signal(Signal::Terminate);
-    idle.expect_end_without_reset();
+    idle.expect_closed_without_reset();
     busy.send(&Request::new("3", "reports").message());
     busy.expect_error("53300");
     busy.expect_error("57P03");
-    assert!(asked_to_end.elapsed() < EARLIEST_KILL);
-    busy.expect_end();
+    assert!(requested_at.elapsed() < EARLIEST_KILL);
+    busy.expect_closed();
     // Nothing waits behind the other query, which may still be served.
     backends[1].send_result(BINARY_VALUE, Role::Reader);
-    alone.expect_result();
-    alone.expect_end();
+    unblocked.expect_result();
+    unblocked.expect_closed();
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
 
@@ -195,7 +195,7 @@
 #[rstest]
 #[case::none(NO_RETRY_AFTER, None)]
 #[case::short(SHORT_RETRY_AFTER, Some("20"))]
-fn a_rejection_during_the_shutdown_says_when_to_retry_as_the_settings_allow(
+fn a_rejection_during_the_shutdown_carries_the_retry_after_that_the_settings_allow(
     #[case] settings: Edit<'static>,
     #[case] detail: Option<&str>,
 ) {
@@ -207,7 +207,7 @@
     let mut backend = host.accept();
     backend.receive_query();
     pooler.signal(Signal::Terminate);
-    idle.expect_end_without_reset();
+    idle.expect_closed_without_reset();
     busy.send(&Request::new("2", "reports").message());
     backend.send_result(BINARY_VALUE, Role::Reader);
     busy.expect_result();
--- a/tests/loopback/soak/attempts.rs
+++ b/tests/loopback/soak/attempts.rs
@@ -7,10 +7,10 @@
 use super::Violations;
 
 /// How long two attempts may seem to overlap because threads of the test take turns.
-const TURN: Duration = Duration::from_millis(500);
+const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(500);
 /// How much later than its client has left an attempt may begin. The rule says 0.1 s; the rest is for threads
 /// of the test that wait for their turn.
-const LATE_START: Duration = Duration::from_millis(400);
+const LATE_START_TOLERANCE: Duration = Duration::from_millis(400);
 
 /// One query that a host has received.
 struct Attempt {
@@ -23,25 +23,25 @@
 }
 
 /// A client's view of its request.
-struct ClientSide {
+struct ClientRecord {
     class: &'static str,
     /// When the client closed its connection without waiting for the response.
-    left_at: Option<Instant>,
+    disconnected_at: Option<Instant>,
 }
 
 #[derive(Default)]
 struct Records {
     attempts: HashMap<String, Vec<Attempt>>,
-    clients: HashMap<String, ClientSide>,
+    clients: HashMap<String, ClientRecord>,
 }
 
 /// All attempts of a run by request. Clones share the same records.
 #[derive(Clone, Default)]
-pub struct Attempts(Arc<Mutex<Records>>);
+pub struct AttemptLog(Arc<Mutex<Records>>);
 
-impl Attempts {
+impl AttemptLog {
     /// Records that a host has received a request. Returns the number of the attempt.
-    pub fn started(&self, id: &str, host: &str) -> usize {
+    pub fn record_start(&self, id: &str, host: &str) -> usize {
         let attempt =
             Attempt { host: host.into(), started_at: Instant::now(), ended_at: None, is_rejected: false };
         let mut records = self.0.lock().unwrap();
@@ -51,20 +51,20 @@
     }
 
     /// Records that an attempt is over.
-    pub fn ended(&self, id: &str, number: usize, is_rejected: bool) {
+    pub fn record_end(&self, id: &str, number: usize, is_rejected: bool) {
         let mut records = self.0.lock().unwrap();
         let attempt = &mut records.attempts.get_mut(id).unwrap()[number];
         attempt.ended_at.get_or_insert_with(Instant::now);
         attempt.is_rejected |= is_rejected;
     }
 
-    pub fn request_sent(&self, id: &str, class: &'static str) {
-        self.0.lock().unwrap().clients.insert(id.into(), ClientSide { class, left_at: None });
+    pub fn record_request(&self, id: &str, class: &'static str) {
+        self.0.lock().unwrap().clients.insert(id.into(), ClientRecord { class, disconnected_at: None });
     }
 
-    pub fn client_left(&self, id: &str) {
+    pub fn record_disconnect(&self, id: &str) {
         let mut records = self.0.lock().unwrap();
-        records.clients.get_mut(id).unwrap().left_at = Some(Instant::now());
+        records.clients.get_mut(id).unwrap().disconnected_at = Some(Instant::now());
     }
 
     /// Checks the rules on attempts once no more can come.
@@ -85,8 +85,9 @@
                 if overlapping > allowed {
                     violations.add(format!("{id}: {overlapping} attempts in flight at {}", attempt.host));
                 }
-                let is_late = |left_at: Instant| attempt.started_at > left_at + LATE_START;
-                if client.left_at.is_some_and(is_late) {
+                let is_late =
+                    |disconnected_at: Instant| attempt.started_at > disconnected_at + LATE_START_TOLERANCE;
+                if client.disconnected_at.is_some_and(is_late) {
                     violations.add(format!("{id}: begun at {} after its client had left", attempt.host));
                 }
             }
@@ -97,6 +98,6 @@
 /// Whether an attempt was still in flight well after another began.
 fn overlaps(other: &Attempt, attempt: &Attempt) -> bool {
     let is_earlier = other.started_at <= attempt.started_at;
-    is_earlier && other.ended_at.is_none_or(|ended_at| ended_at > attempt.started_at + TURN)
+    is_earlier && other.ended_at.is_none_or(|ended_at| ended_at > attempt.started_at + SCHEDULING_TOLERANCE)
         || std::ptr::eq(other, attempt)
 }
--- a/tests/loopback/soak/client.rs
+++ b/tests/loopback/soak/client.rs
@@ -8,20 +8,20 @@
 
 use mio::{Events, Interest, Poll, Token};
 
-use super::{random_time, Generation, Run};
+use super::{random_duration, PoolerProcess, Run};
 use crate::harness::*;
 
 /// A response that has not come by then never comes.
-const NEVER: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// How late a response may be: half a second by the rules, and the rest for threads that wait for their turn.
-const LATENESS: Duration = Duration::from_millis(1500);
+const LATENESS_TOLERANCE: Duration = Duration::from_millis(1500);
 /// A request that was sent so shortly before the end of its connection may not have been read.
-const CROSSING: Duration = Duration::from_millis(150);
+const UNREAD_WINDOW: Duration = Duration::from_millis(150);
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// The longest pause between requests that are sent without waiting for responses.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_PAUSE: Duration = Duration::from_millis(800);
 /// Requests that are sent without waiting for responses.
-const PIPELINED: usize = 3;
+const PIPELINE_LENGTH: usize = 3;
 /// The SQLSTATEs of a rejection, after which a retry is harmless.
 const REJECTIONS: [&str; 2] = ["53300", "57P03"];
 
@@ -53,7 +53,7 @@
 }
 
 /// A request that was sent.
-struct Sent {
+struct SentRequest {
     id: String,
     message: Vec<u8>,
     /// When it was last sent.
@@ -61,7 +61,7 @@
     deadline: Duration,
 }
 
-impl Sent {
+impl SentRequest {
     fn sent_at(&self) -> Option<Instant> {
         *self.sent_at.lock().unwrap()
     }
@@ -73,17 +73,17 @@
     Rejected,
     Failed,
     /// The value is another request's.
-    Foreign,
+    WrongValue,
     /// The connection ended without a response.
-    Ended,
+    ConnectionClosed,
     /// Nothing came.
-    Silent,
+    TimedOut,
 }
 
 /// A connection, and the process that it leads to.
-struct Link {
+struct PoolerConnection {
     stream: TcpStream,
-    generation: Arc<Generation>,
+    process: Arc<PoolerProcess>,
     /// Whether a response has come over it.
     is_used: bool,
 }
@@ -94,7 +94,7 @@
     random: fastrand::Rng,
     run: Arc<Run>,
     counts: Counts,
-    link: Option<Link>,
+    connection: Option<PoolerConnection>,
 }
 
 /// A client that runs.
@@ -103,8 +103,8 @@
 impl ClientThread {
     pub fn start(number: usize, seed: u64, run: Arc<Run>) -> ClientThread {
         let random = fastrand::Rng::with_seed(seed);
-        let client = Client { number, sent: 0, random, run, counts: Counts::default(), link: None };
-        ClientThread(std::thread::spawn(move || client.live()))
+        let client = Client { number, sent: 0, random, run, counts: Counts::default(), connection: None };
+        ClientThread(std::thread::spawn(move || client.run_until_over()))
     }
 
     pub fn join(self) -> Counts {
@@ -113,36 +113,36 @@
 }
 
 impl Client {
-    fn live(mut self) -> Counts {
+    fn run_until_over(mut self) -> Counts {
         while !self.run.is_over() {
-            let Some(link) = self.link.take().or_else(|| connect(self.run.current()).ok()) else {
+            let Some(connection) = self.connection.take().or_else(|| connect(self.run.current()).ok()) else {
                 std::thread::sleep(RECONNECT_DELAY);
                 continue;
             };
             match self.random.u32(..20) {
-                0 => self.leave(link),
+                0 => self.send_and_disconnect(connection),
                 1 => {
-                    std::thread::sleep(random_time(&mut self.random, Duration::from_millis(400)));
-                    self.link = Some(link);
+                    std::thread::sleep(random_duration(&mut self.random, Duration::from_millis(400)));
+                    self.connection = Some(connection);
                 }
-                2 => self.request(link, PIPELINED, Duration::ZERO),
+                2 => self.request(connection, PIPELINE_LENGTH, Duration::ZERO),
                 3..=5 => {
-                    let pause = random_time(&mut self.random, LONGEST_PAUSE);
-                    self.request(link, PIPELINED, pause);
+                    let pause = random_duration(&mut self.random, MAX_PAUSE);
+                    self.request(connection, PIPELINE_LENGTH, pause);
                 }
-                _ => self.request(link, 1, Duration::ZERO),
+                _ => self.request(connection, 1, Duration::ZERO),
             }
         }
         self.counts
     }
 
     /// Sends so many requests, with pauses between them, and waits for their responses.
-    fn request(&mut self, link: Link, count: usize, pause: Duration) {
-        let sent: Vec<Sent> = (0..count).map(|_| self.next_request()).collect();
-        self.exchange(link, &sent, pause, false);
+    fn request(&mut self, connection: PoolerConnection, count: usize, pause: Duration) {
+        let sent: Vec<SentRequest> = (0..count).map(|_| self.next_request()).collect();
+        self.send_and_receive(connection, &sent, pause, false);
     }
 
-    fn next_request(&mut self) -> Sent {
+    fn next_request(&mut self) -> SentRequest {
         let id = format!("c{}-{}", self.number, self.sent);
         self.sent += 1;
         let (class, shortest_ms, longest_ms) = match self.random.u32(..10) {
@@ -152,51 +152,58 @@
             _ => ("reports", 1000, 4000),
         };
         let deadline_ms = self.random.u64(shortest_ms..longest_ms);
-        self.run.attempts.request_sent(&id, class);
+        self.run.attempts.record_request(&id, class);
         let message = Request::new(&id, class).deadline_ms(deadline_ms).message();
-        Sent { id, message, sent_at: Mutex::new(None), deadline: Duration::from_millis(deadline_ms) }
+        SentRequest { id, message, sent_at: Mutex::new(None), deadline: Duration::from_millis(deadline_ms) }
     }
 
     /// Sends requests and reads their responses meanwhile.
-    fn exchange(&mut self, mut link: Link, sent: &[Sent], pause: Duration, is_resent: bool) {
-        let writer = link.stream.try_clone().unwrap();
-        let (answered, ended_at) = std::thread::scope(|scope| {
+    fn send_and_receive(
+        &mut self,
+        mut connection: PoolerConnection,
+        sent: &[SentRequest],
+        pause: Duration,
+        is_resent: bool,
+    ) {
+        let writer = connection.stream.try_clone().unwrap();
+        let (answered, closed_at) = std::thread::scope(|scope| {
             let writing = scope.spawn(|| write_requests(writer, sent, pause));
-            let answered = self.read_responses(&mut link, sent);
-            let ended_at = Instant::now();
+            let answered = self.read_responses(&mut connection, sent);
+            let closed_at = Instant::now();
             // On a busy machine, this thread may notice the end long after the one that writes.
-            let end_seen_at = writing.join().unwrap();
-            (answered, end_seen_at.map_or(ended_at, |seen_at| seen_at.min(ended_at)))
+            let close_seen_at = writing.join().unwrap();
+            (answered, close_seen_at.map_or(closed_at, |seen_at| seen_at.min(closed_at)))
         });
         let unanswered = &sent[answered..];
         if unanswered.is_empty() {
-            self.link = Some(link);
+            self.connection = Some(connection);
             return;
         }
-        let may_be_sent_again = unanswered.iter().all(|request| self.may_cross(&link, request, ended_at));
-        if !may_be_sent_again {
-            unanswered.iter().for_each(|request| self.judge_unanswered(&link, request, ended_at));
-        } else if is_resent && !link.generation.is_ending() && !self.run.has_crowd {
+        let may_be_resent =
+            unanswered.iter().all(|request| self.may_be_unread(&connection, request, closed_at));
+        if !may_be_resent {
+            unanswered.iter().for_each(|request| self.check_unanswered(&connection, request, closed_at));
+        } else if is_resent && !connection.process.is_shutting_down() && !self.run.has_silent_clients {
             self.run.violations.add(format!("{}: two connections ended unread", unanswered[0].id));
         } else {
-            self.send_again(unanswered);
+            self.resend(unanswered);
         }
     }
 
     /// Reads responses until one does not come. Returns how many came.
-    fn read_responses(&mut self, link: &mut Link, sent: &[Sent]) -> usize {
+    fn read_responses(&mut self, connection: &mut PoolerConnection, sent: &[SentRequest]) -> usize {
         let mut last_response_at = Instant::now();
         for (position, request) in sent.iter().enumerate() {
-            match receive(link, &request.id) {
+            match receive(connection, &request.id) {
                 Response::Served => self.counts.served += 1,
                 Response::Rejected => self.counts.rejected += 1,
                 Response::Failed => self.counts.failed += 1,
-                Response::Foreign => {
+                Response::WrongValue => {
                     self.run.violations.add(format!("{}: another request's value", request.id));
                 }
-                Response::Ended => return position,
-                Response::Silent => {
-                    self.run.violations.add(format!("{}: no response in {NEVER:?}", request.id));
+                Response::ConnectionClosed => return position,
+                Response::TimedOut => {
+                    self.run.violations.add(format!("{}: no response in {RESPONSE_TIMEOUT:?}", request.id));
                     return position;
                 }
             }
@@ -205,7 +212,7 @@
             let due_at = (sent_at + request.deadline).max(last_response_at);
             last_response_at = Instant::now();
             let lateness = last_response_at.saturating_duration_since(due_at);
-            if lateness > LATENESS && !link.generation.is_killed() {
+            if lateness > LATENESS_TOLERANCE && !connection.process.is_killed() {
                 self.run.violations.add(format!("{}: answered {lateness:?} late", request.id));
             }
         }
@@ -214,65 +221,72 @@
 
     /// Whether the end of a connection has crossed a request: it was not sent, or just when the connection
     /// ended, and not by a kill.
-    fn may_cross(&self, link: &Link, request: &Sent, ended_at: Instant) -> bool {
+    fn may_be_unread(
+        &self,
+        connection: &PoolerConnection,
+        request: &SentRequest,
+        closed_at: Instant,
+    ) -> bool {
         let Some(sent_at) = request.sent_at() else { return true };
-        let is_shut_unread = self.run.has_crowd && !link.is_used;
-        !link.generation.was_killed_by(ended_at) && (is_shut_unread || ended_at < sent_at + CROSSING)
+        let may_be_closed_unread = self.run.has_silent_clients && !connection.is_used;
+        !connection.process.was_killed_before(closed_at)
+            && (may_be_closed_unread || closed_at < sent_at + UNREAD_WINDOW)
     }
 
     /// Sends requests once more, over a new connection.
-    fn send_again(&mut self, sent: &[Sent]) {
+    fn resend(&mut self, sent: &[SentRequest]) {
         self.counts.crossed += sent.len() as u64;
-        if let Ok(link) = connect(self.run.current()) {
-            self.exchange(link, sent, Duration::ZERO, true);
+        if let Ok(connection) = connect(self.run.current()) {
+            self.send_and_receive(connection, sent, Duration::ZERO, true);
         }
     }
 
     /// Judges a request whose connection has ended without a response.
-    fn judge_unanswered(&mut self, link: &Link, request: &Sent, ended_at: Instant) {
+    fn check_unanswered(&mut self, connection: &PoolerConnection, request: &SentRequest, closed_at: Instant) {
         let Some(sent_at) = request.sent_at() else { return };
-        let is_killed = link.generation.was_killed_by(ended_at);
-        let is_excused = link.generation.excuses(sent_at) || ended_at < sent_at + CROSSING;
+        let is_killed = connection.process.was_killed_before(closed_at);
+        let is_excused =
+            connection.process.may_leave_unanswered(sent_at) || closed_at < sent_at + UNREAD_WINDOW;
         if is_killed && is_excused {
             self.counts.killed += 1;
         } else {
-            let age = ended_at.saturating_duration_since(sent_at);
+            let age = closed_at.saturating_duration_since(sent_at);
             self.run.violations.add(format!("{}: its connection ended after {age:?}", request.id));
         }
     }
 
     /// Sends a request and closes the connection a little later.
-    fn leave(&mut self, mut link: Link) {
+    fn send_and_disconnect(&mut self, mut connection: PoolerConnection) {
         let sent = self.next_request();
-        let _ = link.stream.write_all(&sent.message);
-        std::thread::sleep(random_time(&mut self.random, Duration::from_millis(100)));
-        drop(link);
-        self.run.attempts.client_left(&sent.id);
+        let _ = connection.stream.write_all(&sent.message);
+        std::thread::sleep(random_duration(&mut self.random, Duration::from_millis(100)));
+        drop(connection);
+        self.run.attempts.record_disconnect(&sent.id);
         self.counts.left += 1;
     }
 }
 
 /// Sends requests with pauses between them, up to the first that fails. Returns when it first found that the
 /// connection had ended before it sent one.
-fn write_requests(mut stream: TcpStream, sent: &[Sent], pause: Duration) -> Option<Instant> {
-    let mut end_seen_at = None;
+fn write_requests(mut stream: TcpStream, sent: &[SentRequest], pause: Duration) -> Option<Instant> {
+    let mut close_seen_at = None;
     for (position, request) in sent.iter().enumerate() {
         if position > 0 {
             std::thread::sleep(pause);
         }
-        if end_seen_at.is_none() && has_ended(&stream) {
-            end_seen_at = Some(Instant::now());
+        if close_seen_at.is_none() && is_closed_by_peer(&stream) {
+            close_seen_at = Some(Instant::now());
         }
         *request.sent_at.lock().unwrap() = Some(Instant::now());
         if stream.write_all(&request.message).is_err() {
             break;
         }
     }
-    end_seen_at
+    close_seen_at
 }
 
 /// Whether the end of the connection has arrived, also behind unread responses. Does not wait.
-fn has_ended(stream: &TcpStream) -> bool {
+fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut poll = Poll::new().unwrap();
     let mut events = Events::with_capacity(1);
     let mut watched = mio::net::TcpStream::from_std(stream.try_clone().unwrap());
@@ -282,33 +296,33 @@
 }
 
 /// Opens a connection and completes its startup.
-fn connect(generation: Arc<Generation>) -> io::Result<Link> {
-    let mut stream = TcpStream::connect(generation.address)?;
+fn connect(process: Arc<PoolerProcess>) -> io::Result<PoolerConnection> {
+    let mut stream = TcpStream::connect(process.address)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(NEVER))?;
-    stream.write_all(&startup())?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    stream.write_all(&startup_message())?;
     while read_message(&mut stream)?.kind != message_type::READY_FOR_QUERY {}
-    Ok(Link { stream, generation, is_used: false })
+    Ok(PoolerConnection { stream, process, is_used: false })
 }
 
 /// Reads messages up to ReadyForQuery.
-fn receive(link: &mut Link, id: &str) -> Response {
+fn receive(connection: &mut PoolerConnection, id: &str) -> Response {
     let mut response = None;
     loop {
-        let message = match read_message(&mut link.stream) {
+        let message = match read_message(&mut connection.stream) {
             Ok(message) => message,
-            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock) => return Response::Silent,
-            Err(_) => return response.unwrap_or(Response::Ended),
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock) => return Response::TimedOut,
+            Err(_) => return response.unwrap_or(Response::ConnectionClosed),
         };
         match message.kind {
             message_type::DATA_ROW if message.body.ends_with(id.as_bytes()) => {
                 response = Some(Response::Served);
             }
-            message_type::DATA_ROW => response = Some(Response::Foreign),
+            message_type::DATA_ROW => response = Some(Response::WrongValue),
             message_type::ERROR_RESPONSE => response = Some(rejection_or_failure(&message)),
             message_type::READY_FOR_QUERY => {
-                link.is_used = true;
-                return response.unwrap_or(Response::Foreign);
+                connection.is_used = true;
+                return response.unwrap_or(Response::WrongValue);
             }
             _ => {}
         }
--- a/tests/loopback/soak/discovery.rs
+++ b/tests/loopback/soak/discovery.rs
@@ -7,7 +7,7 @@
 use crate::harness::*;
 
 /// A service that has moved ends its connections after this time.
-const OLD_SERVICE_TIME: Duration = Duration::from_millis(1500);
+const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1500);
 /// Latest time after a change at which queries to a draining host stop: 6 s until the change counts as told,
 /// and 2 s of grace.
 const DRAIN_LIMIT: Duration = Duration::from_secs(8);
@@ -116,17 +116,17 @@
     }
 
     /// Moves to the other address and tells the pooler by its configuration.
-    pub fn move_and_reload(&self, pooler: &Pooler) {
+    pub fn switch_address_and_reload(&self, pooler: &Pooler) {
         let old = {
             let mut state = self.state.lock().unwrap();
             state.active = 1 - state.active;
             1 - state.active
         };
         let address = |number: usize| self.services[number].address().to_string();
-        pooler.reload_if_contained(&address(old), &address(1 - old));
+        pooler.reload_with_replacement(&address(old), &address(1 - old));
         let state = self.state.clone();
         std::thread::spawn(move || {
-            std::thread::sleep(OLD_SERVICE_TIME);
+            std::thread::sleep(OLD_ADDRESS_GRACE);
             let mut state = state.lock().unwrap();
             if state.active != old {
                 state.watches.retain(|(number, _)| *number != old);
@@ -137,7 +137,7 @@
 
 /// Answers each call with the whole list. A service that has moved takes no call.
 fn accept_watches(number: usize, service: &DiscoveryService, state: &Mutex<State>) {
-    while let Some(mut watch) = service.next_call() {
+    while let Some(mut watch) = service.next_watch() {
         let mut state = state.lock().unwrap();
         if state.active == number {
             watch.send_list(&state.list());
--- a/tests/loopback/soak/host.rs
+++ b/tests/loopback/soak/host.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use super::attempts::Attempts;
+use super::attempts::AttemptLog;
 use super::discovery::ListedHost;
-use super::random_time;
+use super::random_duration;
 use crate::harness::*;
 
 /// The class of writes, which only the primary takes.
@@ -15,15 +15,15 @@
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
 /// The longest time that a host works on a report and on any other query.
-const LONGEST_REPORT: Duration = Duration::from_millis(2500);
-const LONGEST_QUERY: Duration = Duration::from_millis(60);
+const MAX_REPORT_TIME: Duration = Duration::from_millis(2500);
+const MAX_QUERY_TIME: Duration = Duration::from_millis(60);
 /// How often a host that hangs looks whether the pooler has closed the connection.
-const HANG_CHECK: Duration = Duration::from_millis(10);
+const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How the host behaves.
 #[derive(Default)]
-struct Behaviour {
-    hangs_until: Option<Instant>,
+struct Faults {
+    hang_until: Option<Instant>,
     resets_left: u32,
     rejections_left: u32,
     startup_delay: Duration,
@@ -32,11 +32,11 @@
 /// A running host.
 pub struct SoakHost {
     listed: ListedHost,
-    behaviour: Arc<Mutex<Behaviour>>,
+    faults: Arc<Mutex<Faults>>,
 }
 
 /// What happens to a query.
-enum Fate {
+enum QueryOutcome {
     Answer,
     Reject(&'static str),
     Reset,
@@ -49,13 +49,13 @@
         zone: &'static str,
         role: Role,
         seed: u64,
-        attempts: &Attempts,
+        attempts: &AttemptLog,
     ) -> SoakHost {
         let mut random = fastrand::Rng::with_seed(seed);
         let host = DatabaseHost::new();
         let listed = ListedHost::new(name, zone, role, host.entry(name, zone).address);
-        let behaviour: Arc<Mutex<Behaviour>> = Arc::default();
-        let (server, shared, attempts) = (listed.clone(), behaviour.clone(), attempts.clone());
+        let faults: Arc<Mutex<Faults>> = Arc::default();
+        let (server, shared, attempts) = (listed.clone(), faults.clone(), attempts.clone());
         std::thread::spawn(move || {
             while let Some(connection) = host.next_connection() {
                 let (server, shared, attempts) = (server.clone(), shared.clone(), attempts.clone());
@@ -63,7 +63,7 @@
                 std::thread::spawn(move || serve(connection, &server, &shared, &attempts, random));
             }
         });
-        SoakHost { listed, behaviour }
+        SoakHost { listed, faults }
     }
 
     pub fn listed(&self) -> ListedHost {
@@ -71,35 +71,35 @@
     }
 
     pub fn hang(&self, time: Duration) {
-        self.behaviour.lock().unwrap().hangs_until = Some(Instant::now() + time);
+        self.faults.lock().unwrap().hang_until = Some(Instant::now() + time);
     }
 
     pub fn reset_queries(&self, count: u32) {
-        self.behaviour.lock().unwrap().resets_left = count;
+        self.faults.lock().unwrap().resets_left = count;
     }
 
     pub fn reject_queries(&self, count: u32) {
-        self.behaviour.lock().unwrap().rejections_left = count;
+        self.faults.lock().unwrap().rejections_left = count;
     }
 
     pub fn delay_startups(&self, time: Duration) {
-        self.behaviour.lock().unwrap().startup_delay = time;
+        self.faults.lock().unwrap().startup_delay = time;
     }
 
     /// Ends all misbehaviour.
     pub fn recover(&self) {
-        *self.behaviour.lock().unwrap() = Behaviour::default();
+        *self.faults.lock().unwrap() = Faults::default();
     }
 }
 
 fn serve(
     mut connection: Connection,
     host: &ListedHost,
-    behaviour: &Mutex<Behaviour>,
-    attempts: &Attempts,
+    faults: &Mutex<Faults>,
+    attempts: &AttemptLog,
     mut random: fastrand::Rng,
 ) {
-    let startup_delay = behaviour.lock().unwrap().startup_delay;
+    let startup_delay = faults.lock().unwrap().startup_delay;
     std::thread::sleep(startup_delay);
     if answer_startup(&mut connection).is_err() {
         return;
@@ -107,30 +107,30 @@
     while let Some(message) = connection.receive() {
         let sql = String::from_utf8_lossy(&message.body).into_owned();
         let id = field(&sql, "id=");
-        let number = attempts.started(&id, host.name);
+        let number = attempts.record_start(&id, host.name);
         host.check_drain(&id);
         let served_at = Instant::now() + service_time(&sql, &mut random);
-        if !stays_open_until(served_at, &connection, behaviour) {
-            return attempts.ended(&id, number, false);
+        if !wait_while_open(served_at, &connection, faults) {
+            return attempts.record_end(&id, number, false);
         }
-        let fate = fate(&sql, host.role, behaviour);
-        let is_rejected = matches!(fate, Fate::Reject(_));
+        let outcome = outcome(&sql, host.role, faults);
+        let is_rejected = matches!(outcome, QueryOutcome::Reject(_));
         // Recorded before the answer, which the pooler may act on at once.
-        attempts.ended(&id, number, is_rejected);
-        match fate {
-            Fate::Answer => {
+        attempts.record_end(&id, number, is_rejected);
+        match outcome {
+            QueryOutcome::Answer => {
                 let position = unix_time().as_millis() as i64;
                 let answer = result_response_with_position(id.as_bytes(), host.role, position);
                 if connection.stream.write_all(&answer).is_err() {
                     return;
                 }
             }
-            Fate::Reject(sqlstate) => {
+            QueryOutcome::Reject(sqlstate) => {
                 if connection.stream.write_all(&error_response(sqlstate)).is_err() {
                     return;
                 }
             }
-            Fate::Reset => return connection.reset(),
+            QueryOutcome::Reset => return connection.reset(),
         }
     }
 }
@@ -139,21 +139,21 @@
     let mut length = [0; 4];
     connection.stream.read_exact(&mut length)?;
     connection.stream.read_exact(&mut vec![0; u32::from_be_bytes(length) as usize - 4])?;
-    connection.stream.write_all(&session_start())
+    connection.stream.write_all(&startup_response())
 }
 
 /// How long the host works on a query.
 fn service_time(sql: &str, random: &mut fastrand::Rng) -> Duration {
-    let longest = if sql.contains("c=reports,") { LONGEST_REPORT } else { LONGEST_QUERY };
-    random_time(random, longest)
+    let max = if sql.contains("c=reports,") { MAX_REPORT_TIME } else { MAX_QUERY_TIME };
+    random_duration(random, max)
 }
 
 /// Waits until that time, and until the host hangs no more. Returns whether the pooler has kept the
 /// connection open until then.
-fn stays_open_until(served_at: Instant, connection: &Connection, behaviour: &Mutex<Behaviour>) -> bool {
-    let hangs_until = || behaviour.lock().unwrap().hangs_until.unwrap_or(served_at);
-    while Instant::now() < served_at.max(hangs_until()) {
-        connection.stream.set_read_timeout(Some(HANG_CHECK)).unwrap();
+fn wait_while_open(served_at: Instant, connection: &Connection, faults: &Mutex<Faults>) -> bool {
+    let hang_until = || faults.lock().unwrap().hang_until.unwrap_or(served_at);
+    while Instant::now() < served_at.max(hang_until()) {
+        connection.stream.set_read_timeout(Some(HANG_CHECK_INTERVAL)).unwrap();
         let is_open = match connection.stream.peek(&mut [0]) {
             Ok(count) => count > 0,
             Err(error) => matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
@@ -166,21 +166,21 @@
     true
 }
 
-fn fate(sql: &str, role: Role, behaviour: &Mutex<Behaviour>) -> Fate {
+fn outcome(sql: &str, role: Role, faults: &Mutex<Faults>) -> QueryOutcome {
     let is_write = WRITE_CLASSES.iter().any(|class| sql.contains(class));
     if is_write && matches!(role, Role::Reader) {
-        return Fate::Reject(NOT_THE_PRIMARY);
+        return QueryOutcome::Reject(NOT_THE_PRIMARY);
     }
-    let mut behaviour = behaviour.lock().unwrap();
-    if behaviour.rejections_left > 0 {
-        behaviour.rejections_left -= 1;
-        return Fate::Reject(TOO_MANY_CONNECTIONS);
+    let mut faults = faults.lock().unwrap();
+    if faults.rejections_left > 0 {
+        faults.rejections_left -= 1;
+        return QueryOutcome::Reject(TOO_MANY_CONNECTIONS);
     }
-    if behaviour.resets_left > 0 {
-        behaviour.resets_left -= 1;
-        return Fate::Reset;
+    if faults.resets_left > 0 {
+        faults.resets_left -= 1;
+        return QueryOutcome::Reset;
     }
-    Fate::Answer
+    QueryOutcome::Answer
 }
 
 /// The value after a name in the comment of a statement.
--- a/tests/loopback/soak/violations.rs
+++ b/tests/loopback/soak/violations.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 
 /// Most violations that are kept: the first ones tell the cause.
-const MAX_KEPT: usize = 20;
+const MAX_VIOLATIONS: usize = 20;
 
 /// Broken rules, each in one line.
 #[derive(Default)]
@@ -11,9 +11,9 @@
 
 impl Violations {
     pub fn add(&self, violation: String) {
-        let mut kept = self.0.lock().unwrap();
-        if kept.len() < MAX_KEPT {
-            kept.push(violation);
+        let mut violations = self.0.lock().unwrap();
+        if violations.len() < MAX_VIOLATIONS {
+            violations.push(violation);
         }
     }
 
