--- a/tests/loopback/client_limits.rs
+++ b/tests/loopback/client_limits.rs
@@ -60,7 +60,7 @@
 #[case::partial_startup(startup_message()[..7].to_vec(), Some("08P01"))]
 #[case::startup_only(startup_message(), None)]
 #[case::partial_query([startup_message(), partial_query()].concat(), Some("08P01"))]
-#[case::message_other_than_a_query([startup_message(), encode_message(message_type::FLUSH, b"")].concat(), None)]
+#[case::non_query_message([startup_message(), encode_message(message_type::FLUSH, b"")].concat(), None)]
 fn a_client_that_never_completes_a_query_is_closed(#[case] sent: Vec<u8>, #[case] sqlstate: Option<&str>) {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
--- a/tests/loopback/harness/configuration.rs
+++ b/tests/loopback/harness/configuration.rs
@@ -4,8 +4,8 @@
 
 use super::EndpointList;
 
-/// Settings of four classes of requests. Latency objectives and deadlines are so long that a slow machine
-/// does not change a result.
+/// Settings with four request classes. The latency objectives and deadlines are long, so that a slow machine
+/// does not change the result of a test.
 const SETTINGS: &str = r#"{"classes":[
 {"name":"browse","aim":8,"deadline":9,"effect":"read_like","value":1},
 {"name":"own-orders","aim":8,"deadline":9,"effect":"read_like","value":1},
@@ -16,24 +16,24 @@
 "limits":{"cancel":true,"connectTimeout":1,"keepalive":15,"maxAttempts":6,"maxRetryAfter":0.5,"probes":false,"retryAfter":true},
 "specifics":{"consistency":["bounded","session","any","write"],"stalenessBound":[3,0,0,0],"whenBehind":"silent","writeMarks":"remembered"}}"#;
 
-/// A replacement in the text of the configuration.
+/// A text replacement in the configuration file.
 #[derive(Clone, Copy)]
 pub struct Edit<'a> {
-    /// The text to replace, which has to occur.
+    /// The text to replace. Must occur in the configuration file.
     pub from: &'a str,
-    /// Its replacement.
+    /// The replacement.
     pub to: &'a str,
 }
 
 impl Edit<'_> {
-    /// Replaces every occurrence. The text has to contain at least one.
+    /// Replaces all occurrences in `text`, of which there must be at least one.
     pub fn apply(&self, text: &str) -> String {
-        assert!(text.contains(self.from), "{} is not in the configuration", self.from);
+        assert!(text.contains(self.from), "the configuration does not contain {}", self.from);
         text.replace(self.from, self.to)
     }
 }
 
-/// The text of the configuration file. `known` is the endpoint list that the pooler starts with.
+/// Returns the text of the configuration file. `known` is the endpoint list with which the pooler starts.
 pub fn configuration(known: &EndpointList, discovery: SocketAddr, edits: &[Edit]) -> String {
     let text = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
--- a/tests/loopback/harness/connection.rs
+++ b/tests/loopback/harness/connection.rs
@@ -1,4 +1,4 @@
-//! A connection that carries PostgreSQL messages, driven from either end.
+//! A connection that carries PostgreSQL messages, as a client or a database host uses it.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -7,47 +7,46 @@
 use super::wire::{message_type, Message};
 use super::EVENT_TIMEOUT;
 
-/// One end of a connection between a client or a database host and the pooler.
+/// A connection of a scripted client or database host to the pooler.
 pub struct Connection {
-    /// The socket, for tests that read or close it themselves.
+    /// The socket, for tests that access it directly.
     pub stream: TcpStream,
 }
 
-/// The fields of an ErrorResponse that the tests look at.
+/// The fields of an ErrorResponse that the tests check.
 #[derive(Debug, PartialEq)]
 pub struct ErrorResponse {
-    /// The field `C`.
+    /// The SQLSTATE, field `C`.
     pub sqlstate: String,
-    /// The field `D`. A rejection holds the milliseconds after which to retry.
+    /// The detail, field `D`. In a rejection it is the Retry-After in milliseconds.
     pub detail: Option<String>,
 }
 
 impl Connection {
-    /// Takes over a connected socket. Reading from it fails after [`EVENT_TIMEOUT`].
+    /// Wraps a connected socket. Reads time out after [`EVENT_TIMEOUT`].
     pub fn new(stream: TcpStream) -> Connection {
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Connection { stream }
     }
 
-    /// Sends all of `bytes`.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Closes the connection at once. Dropping it may close it later: a process that another test is starting
-    /// holds copies of all descriptors for a moment.
+    /// Closes the connection immediately. Dropping it may close it later, since a child process that another
+    /// test is starting briefly holds copies of all descriptors.
     pub fn close(self) {
         self.stream.shutdown(Shutdown::Both).unwrap();
     }
 
-    /// Ends the connection by a reset after all sent bytes have left.
+    /// Resets the connection once all sent bytes have been transmitted.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
         socket.set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// The next message, or `None` if the connection has ended.
+    /// Receives the next message. Returns `None` if the connection is closed or a read fails.
     pub fn receive(&mut self) -> Option<Message> {
         let mut header = [0; 5];
         self.stream.read_exact(&mut header).ok()?;
@@ -57,7 +56,7 @@
         Some(Message { kind, body })
     }
 
-    /// The messages up to ReadyForQuery, without ReadyForQuery itself.
+    /// Receives all messages up to ReadyForQuery. Returns them without ReadyForQuery.
     pub fn receive_response(&mut self) -> Vec<Message> {
         let mut messages = Vec::new();
         while let Some(message) = self.receive() {
@@ -69,20 +68,20 @@
         messages
     }
 
-    /// Receives a response that has to start with a row description.
+    /// Asserts that the next response starts with a RowDescription.
     #[track_caller]
     pub fn expect_result(&mut self) {
         assert_eq!(self.receive_response()[0].kind, message_type::ROW_DESCRIPTION);
     }
 
-    /// Receives a response whose row has to end with `value`.
+    /// Asserts that the row of the next response ends with `value`.
     #[track_caller]
     pub fn expect_value(&mut self, value: &[u8]) {
         let response = self.receive_response();
-        assert!(response[1].body.ends_with(value), "the response has another value");
+        assert!(response[1].body.ends_with(value), "unexpected value in the response");
     }
 
-    /// Receives a response that has to be one ErrorResponse and nothing else.
+    /// Receives a response, and asserts that it consists of a single ErrorResponse.
     pub fn receive_error(&mut self) -> ErrorResponse {
         let response = self.receive_response();
         assert_eq!((response.len(), response[0].kind), (1, message_type::ERROR_RESPONSE), "{response:?}");
@@ -91,37 +90,37 @@
         ErrorResponse { sqlstate: field('C').unwrap(), detail: field('D') }
     }
 
-    /// Receives a response that has to be an error with this SQLSTATE.
+    /// Asserts that the next response is an error with this SQLSTATE.
     #[track_caller]
     pub fn expect_error(&mut self, sqlstate: &str) {
         assert_eq!(self.receive_error().sqlstate, sqlstate);
     }
 
-    /// Waits for the end of the connection, which has to come without further bytes and not by a reset.
+    /// Asserts that the peer closes the connection without sending further bytes and without a reset.
     #[track_caller]
     pub fn expect_closed_without_reset(&mut self) {
-        assert_eq!(self.read_byte().expect("no reset"), 0);
+        assert_eq!(self.read_byte().expect("reading failed instead of reaching an orderly close"), 0);
     }
 
-    /// Waits for the end of the connection, by a reset or not, which has to come without further bytes.
+    /// Asserts that the peer closes or resets the connection without sending further bytes.
     #[track_caller]
     pub fn expect_closed(&mut self) {
         match self.read_byte() {
             Ok(0) => {}
             Err(error) if error.kind() == ErrorKind::ConnectionReset => {}
-            other => panic!("{other:?} instead of the end of the connection"),
+            other => panic!("expected the connection to be closed, got {other:?}"),
         }
     }
 
-    /// Requires that the pooler ends the connection and sends no query before that.
+    /// Asserts that the pooler closes the connection without sending a query.
     #[track_caller]
     pub fn expect_closed_without_query(&mut self) {
         let message = self.receive();
-        assert!(message.is_none(), "{message:?} instead of the end of the connection");
+        assert!(message.is_none(), "expected the connection to be closed, got {message:?}");
     }
 
-    /// Reads at most one byte. Starts again after a signal, such as the one that comes when the child process
-    /// of another test ends.
+    /// Reads at most one byte. Retries if a signal interrupts it, such as the one for the exit of a child
+    /// process of another test.
     fn read_byte(&mut self) -> std::io::Result<usize> {
         loop {
             match self.stream.read(&mut [0]) {
--- a/tests/loopback/harness/database_host.rs
+++ b/tests/loopback/harness/database_host.rs
@@ -1,4 +1,4 @@
-//! Database hosts.
+//! Scripted database hosts.
 
 use std::io::Read;
 use std::net::{Shutdown, TcpListener};
@@ -6,21 +6,21 @@
 use super::wire::{encode_message, message_type, ready_for_query, result_response, Role};
 use super::{listen_on_loopback, Connection, EndpointEntry};
 
-/// The body of the message by which a host accepts a client without a password.
+/// The body of AuthenticationOk, by which a host accepts a client without a password.
 const AUTHENTICATION_OK: [u8; 4] = [0; 4];
 
-/// A database host that accepts connections of the pooler. Dropping it closes its port.
+/// A database host that accepts connections of the pooler. Dropping it closes its listener.
 pub struct DatabaseHost {
     listener: TcpListener,
 }
 
 impl DatabaseHost {
-    /// Starts to listen on a free port.
+    /// Starts listening on a free port.
     pub fn new() -> DatabaseHost {
         DatabaseHost { listener: listen_on_loopback() }
     }
 
-    /// The entry of this host in the endpoint list.
+    /// Returns the entry of this host in the endpoint list.
     pub fn entry(&self, name: &str, zone: &str) -> EndpointEntry {
         EndpointEntry {
             name: name.to_string(),
@@ -33,23 +33,24 @@
         }
     }
 
-    /// Refuses connections from now on. Dropping the host may do so later, see [`Connection::close`].
+    /// Closes the listener immediately. Dropping the host may close it later, see [`Connection::close`].
     pub fn close(self) {
         socket2::SockRef::from(&self.listener).shutdown(Shutdown::Both).unwrap();
     }
 
-    /// The next connection, before its startup; none if the pooler opens none for a long time.
+    /// Accepts the next connection, before its startup. Returns `None` if there is none within
+    /// [`EVENT_TIMEOUT`](super::EVENT_TIMEOUT).
     pub fn next_connection(&self) -> Option<Connection> {
         let (stream, _) = self.listener.accept().ok()?;
         Some(Connection::new(stream))
     }
 
-    /// The next connection, before its startup.
+    /// Accepts the next connection, before its startup.
     pub fn accept_without_startup(&self) -> Connection {
-        Connection::new(self.listener.accept().expect("the pooler connects").0)
+        Connection::new(self.listener.accept().expect("the pooler opened no connection").0)
     }
 
-    /// The next connection. Its startup message is read and not answered yet.
+    /// Accepts the next connection and reads its startup message, without answering it.
     pub fn accept_unanswered_startup(&self) -> Connection {
         let mut connection = self.accept_without_startup();
         let mut length = [0; 4];
@@ -59,7 +60,7 @@
         connection
     }
 
-    /// The next connection, after its startup.
+    /// Accepts the next connection and completes its startup.
     pub fn accept(&self) -> Connection {
         let mut connection = self.accept_unanswered_startup();
         connection.complete_startup();
@@ -67,34 +68,34 @@
     }
 }
 
-/// The answer to a startup message.
+/// Returns the response to a startup message: AuthenticationOk and ReadyForQuery.
 pub fn startup_response() -> Vec<u8> {
     let authentication_ok = encode_message(message_type::AUTHENTICATION, &AUTHENTICATION_OK);
     [authentication_ok, ready_for_query()].concat()
 }
 
 impl Connection {
-    /// Answers the startup message, after which the pooler may send a query.
+    /// Answers the startup message. The pooler may then send queries.
     pub fn complete_startup(&mut self) {
         self.send(&startup_response());
     }
 
-    /// The statement of the next message, which has to be a query.
+    /// Receives the next message, asserts that it is a query, and returns its statement.
     pub fn receive_query(&mut self) -> String {
-        let message = self.receive().expect("a query");
+        let message = self.receive().expect("no query on the connection");
         assert_eq!(message.kind, message_type::QUERY);
         let without_terminator = &message.body[..message.body.len() - 1];
         String::from_utf8(without_terminator.to_vec()).unwrap()
     }
 
-    /// Receives a query that has to be the request with this id.
+    /// Asserts that the next query is the request with this id.
     #[track_caller]
     pub fn expect_request(&mut self, id: &str) {
         let sql = self.receive_query();
         assert!(sql.contains(&format!("id={id},")), "{sql}");
     }
 
-    /// Answers a query.
+    /// Answers a query with a result of one row.
     pub fn send_result(&mut self, value: &[u8], role: Role) {
         self.send(&result_response(value, role));
     }
--- a/tests/loopback/harness/discovery.rs
+++ b/tests/loopback/harness/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service, which serves the endpoint list over HTTP.
+//! A scripted discovery service, which serves the endpoint list over HTTP.
 
 use std::fmt;
 use std::io::{Read, Write};
@@ -6,22 +6,22 @@
 
 use super::{listen_on_loopback, EVENT_TIMEOUT};
 
-/// The head of a response whose body follows in chunks.
+/// The head of a response with a chunked body.
 pub const CHUNKED_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// One database host of the endpoint list. Displays as JSON.
+/// One database host in the endpoint list. Formatted as JSON.
 pub struct EndpointEntry {
     pub name: String,
     pub address: SocketAddr,
     pub zone: String,
-    /// Such as `SERVING` or `DRAINING`.
+    /// `SERVING`, `DRAINING` or `DELETED`.
     pub status: &'static str,
-    /// `writer` for the primary, `reader` for a replica, if the list tells.
+    /// `writer` for the primary, `reader` for a replica, `None` if the list omits the field.
     pub access: Option<&'static str>,
-    /// The group that the host belongs to.
+    /// The group of database hosts that it belongs to.
     pub group: u32,
-    /// When it last started, in milliseconds since the Unix epoch; 0 for long ago.
+    /// When it last started, in milliseconds since the Unix epoch. 0 means long ago.
     pub since_ms: i64,
 }
 
@@ -31,12 +31,11 @@
         EndpointEntry { status, ..self }
     }
 
-    /// Sets the group.
     pub fn with_group(self, group: u32) -> EndpointEntry {
         EndpointEntry { group, ..self }
     }
 
-    /// Sets when the host last started.
+    /// Sets the time of the host's last start.
     pub fn with_start_time(self, since_ms: i64) -> EndpointEntry {
         EndpointEntry { since_ms, ..self }
     }
@@ -58,22 +57,23 @@
     }
 }
 
-/// A list of the discovery service. Displays as JSON.
+/// A list that the discovery service sends. Formatted as JSON.
 pub struct EndpointList {
-    /// The version of the list, from which the next watch continues.
+    /// The version of the list. The next watch requests the changes since this version.
     pub index: u64,
-    /// Whether hosts that are not in the list have been removed. Otherwise the list holds changes only.
+    /// Whether the list is complete, so that hosts missing from it are removed. Otherwise it holds only the
+    /// changes.
     pub snapshot: bool,
     pub entries: Vec<EndpointEntry>,
 }
 
 impl EndpointList {
-    /// A complete list.
+    /// Creates a complete list.
     pub fn snapshot(index: u64, entries: impl Into<Vec<EndpointEntry>>) -> EndpointList {
         EndpointList { index, snapshot: true, entries: entries.into() }
     }
 
-    /// Changes since an earlier list.
+    /// Creates a list of changes since an earlier list.
     pub fn update(index: u64, entries: impl Into<Vec<EndpointEntry>>) -> EndpointList {
         EndpointList { index, snapshot: false, entries: entries.into() }
     }
@@ -87,28 +87,29 @@
     }
 }
 
-/// The service, which accepts the calls of the pooler.
+/// The service, which accepts the watches of the pooler.
 pub struct DiscoveryService {
     listener: TcpListener,
 }
 
 impl DiscoveryService {
-    /// Starts to listen on a free port.
+    /// Starts listening on a free port.
     pub fn new() -> DiscoveryService {
         DiscoveryService { listener: listen_on_loopback() }
     }
 
-    /// The address that the configuration of the pooler names.
+    /// Returns the address for the configuration of the pooler.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Accepts the next call and reads the head of its request.
+    /// Accepts the next watch and reads the head of its request.
     pub fn accept(&self) -> Watch {
-        self.next_watch().expect("the pooler calls")
+        self.next_watch().expect("the pooler opened no watch")
     }
 
-    /// The next call, of which the head is read; none if there is none for a long time, or it breaks.
+    /// Accepts the next watch and reads the head of its request. Returns `None` if there is no watch within
+    /// [`EVENT_TIMEOUT`], or if its connection fails.
     pub fn next_watch(&self) -> Option<Watch> {
         let (mut stream, _) = self.listener.accept().ok()?;
         stream.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
@@ -124,16 +125,15 @@
     }
 }
 
-/// A call of the pooler that waits for the endpoint list and its changes.
+/// A request of the pooler for the endpoint list and its changes.
 pub struct Watch {
-    /// The socket, for tests that read it or send in the background.
+    /// The socket, for tests that read from it or send in the background.
     pub stream: TcpStream,
     /// The first line of the request.
     pub request_line: String,
 }
 
 impl Watch {
-    /// Sends all of `bytes`.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
     }
@@ -144,12 +144,12 @@
         self.send(&[CHUNKED_HEAD.as_bytes(), &chunk(line.as_bytes())].concat());
     }
 
-    /// Sends the head of the response and the list.
+    /// Sends the head of the response and the list as a single chunk.
     pub fn send_list(&mut self, list: &EndpointList) {
         self.send_json(&list.to_string());
     }
 
-    /// Requires that the pooler has asked for changes since this index.
+    /// Asserts that the pooler requests changes since this index.
     #[track_caller]
     pub fn expect_since(&self, index: u64) {
         let line = &self.request_line;
@@ -157,12 +157,12 @@
     }
 }
 
-/// One chunk of a body in chunks.
+/// Encodes one chunk of a chunked body.
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat()
 }
 
-/// `bytes` split into chunks of `size`.
+/// Encodes `bytes` as chunks of at most `size` bytes each.
 pub fn chunks_of(bytes: &[u8], size: usize) -> Vec<u8> {
     bytes.chunks(size).flat_map(chunk).collect()
 }
--- a/tests/loopback/harness/mod.rs
+++ b/tests/loopback/harness/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted peers of the pooler program: clients, database hosts and the discovery service.
 //!
-//! The tests drive each peer step by step. Every wait is for an event and fails the test if the event does
-//! not come within [`EVENT_TIMEOUT`].
+//! The tests control each peer step by step. They wait for events instead of fixed times; a test fails if an
+//! event does not occur within [`EVENT_TIMEOUT`].
 
 mod client;
 mod configuration;
@@ -26,11 +26,12 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// How long a peer waits for an event. Far longer than any event takes, so only a failed test waits this
-/// long.
+/// How long a peer waits for an event. Much longer than any event takes, so that only a failing test waits
+/// for the whole time.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Listens on a free port of the loopback interface. Accepting a connection fails after [`EVENT_TIMEOUT`].
+/// Listens on a free port of the loopback interface. Accepting a connection times out after
+/// [`EVENT_TIMEOUT`].
 fn listen_on_loopback() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     socket2::SockRef::from(&listener).set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
--- a/tests/loopback/harness/pooler.rs
+++ b/tests/loopback/harness/pooler.rs
@@ -1,4 +1,4 @@
-//! The pooler program as a child process.
+//! The pooler program, run as a child process.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_pg-pooler");
 
-/// How many poolers the tests have started. Gives each configuration file a name of its own.
+/// The number of poolers that the tests have started. Makes the names of their configuration files unique.
 static POOLERS_STARTED: AtomicU64 = AtomicU64::new(0);
 
-/// Clock ticks per second in the files of `/proc`.
+/// Clock ticks per second of the times in `/proc`.
 #[cfg(target_os = "linux")]
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// The states of a process in `/proc/PID/stat`: it waits for an event, or a signal has stopped it.
+/// Process states in `/proc/PID/stat`: waiting for an event, and stopped by a signal.
 #[cfg(target_os = "linux")]
 const SLEEPING: &str = "S";
 #[cfg(target_os = "linux")]
 const STOPPED: &str = "T";
 
-/// The signals that the tests send to the program.
+/// The signals that the tests send to the pooler.
 #[derive(Clone, Copy)]
 pub enum Signal {
     /// Reloads the configuration.
@@ -34,9 +34,9 @@
     Terminate,
     /// Logs the counters.
     User1,
-    /// Stops the process until [`Signal::Continue`].
+    /// Suspends the process until [`Signal::Continue`].
     Stop,
-    /// Resumes a stopped process.
+    /// Resumes a suspended process.
     Continue,
 }
 
@@ -57,18 +57,18 @@
     child: Child,
     log: Receiver<String>,
     configuration: PathBuf,
-    /// Where the pooler listens for clients.
+    /// The address on which the pooler accepts clients.
     pub address: SocketAddr,
 }
 
 impl Pooler {
-    /// Starts the program with the endpoint list `known` and an edited configuration.
+    /// Starts the program with the endpoint list `known` and the edited configuration.
     pub fn start(known: &EndpointList, discovery: &DiscoveryService, edits: &[Edit]) -> Pooler {
         Pooler::start_command(Command::new(PROGRAM), known, discovery, edits)
     }
 
-    /// Starts the program under an operating system limit of `count` file descriptors. The limit in its
-    /// configuration stays higher.
+    /// Starts the program with a resource limit of `count` file descriptors, which is lower than the limit in
+    /// its configuration.
     pub fn start_with_descriptor_limit(
         count: u32,
         known: &EndpointList,
@@ -90,7 +90,7 @@
         let path = std::env::temp_dir().join(file);
         std::fs::write(&path, configuration(known, discovery.address(), edits)).unwrap();
         command.args(["serve", "--config"]).arg(&path).stderr(Stdio::piped());
-        let mut child = command.spawn().expect("the pooler starts");
+        let mut child = command.spawn().expect("failed to start the pooler");
         let log = read_lines(child.stderr.take().unwrap());
         let mut pooler = Pooler { child, log, configuration: path, address: ([127, 0, 0, 1], 0).into() };
         let line = pooler.wait_for_log("listening");
@@ -99,15 +99,15 @@
         pooler
     }
 
-    /// Edits the configuration file and makes the pooler reload it.
+    /// Edits the configuration file and signals the pooler to reload it.
     pub fn reload(&self, edit: &Edit) {
         let text = std::fs::read_to_string(&self.configuration).unwrap();
         std::fs::write(&self.configuration, edit.apply(&text)).unwrap();
         self.signal(Signal::Hangup);
     }
 
-    /// Makes the pooler reload its configuration while the file is not there, and then puts the edited file
-    /// back.
+    /// Signals the pooler to reload its configuration file while the file does not exist. Writes the edited
+    /// file once the reload has failed.
     pub fn reload_while_missing(&self, edit: &Edit) {
         let text = std::fs::read_to_string(&self.configuration).unwrap();
         std::fs::remove_file(&self.configuration).unwrap();
@@ -116,37 +116,41 @@
         std::fs::write(&self.configuration, edit.apply(&text)).unwrap();
     }
 
-    /// Waits for a line of the log that contains `text`. Skips the lines before it.
+    /// Waits for a log line that contains `text` and returns it. Earlier lines are skipped.
     pub fn wait_for_log(&self, text: &str) -> String {
         loop {
-            let line =
-                self.log.recv_timeout(EVENT_TIMEOUT).unwrap_or_else(|_| panic!("'{text}' is not logged"));
+            let line = self
+                .log
+                .recv_timeout(EVENT_TIMEOUT)
+                .unwrap_or_else(|_| panic!("no log line contains '{text}'"));
             if line.contains(text) {
                 return line;
             }
         }
     }
 
-    /// Edits the configuration file, if it contains what is to be replaced, and makes the pooler reload it.
+    /// Replaces all occurrences of `from` in the configuration file, if any, and signals the pooler to reload
+    /// it.
     pub fn reload_with_replacement(&self, from: &str, to: &str) {
         let text = std::fs::read_to_string(&self.configuration).unwrap();
         std::fs::write(&self.configuration, text.replace(from, to)).unwrap();
         self.signal(Signal::Hangup);
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the process, which must exist.
     pub fn signal(&self, signal: Signal) {
         assert!(self.signal_if_alive(signal));
     }
 
-    /// Sends a signal to the process, which may have ended. Returns whether it was there.
+    /// Sends a signal to the process. Returns whether the process still existed.
     pub fn signal_if_alive(&self, signal: Signal) -> bool {
         let process = self.child.id().to_string();
         Command::new("kill").args(["-s", signal.name(), &process]).status().unwrap().success()
     }
 
-    /// Stops the process while it waits for events, and waits until it is stopped. It has handled all that was
-    /// sent to it before. What is sent to it now is reported by one poll after [`Signal::Continue`].
+    /// Suspends the process while it waits for events, and returns once it is suspended. It has then handled
+    /// all earlier events. Events that occur while it is suspended are returned by a single poll after
+    /// [`Signal::Continue`].
     #[cfg(target_os = "linux")]
     pub fn stop_while_idle(&self) {
         self.wait_until_events_handled();
@@ -155,45 +159,45 @@
         self.wait_for_state(STOPPED);
     }
 
-    /// Waits until the main thread, which handles all events, is in this state.
+    /// Waits until the main thread, which handles all events, is in this process state.
     #[cfg(target_os = "linux")]
     fn wait_for_state(&self, state: &str) {
         let start = std::time::Instant::now();
         while self.stat_fields()[0] != state {
-            assert!(start.elapsed() < EVENT_TIMEOUT, "the state of the process is not {state}");
+            assert!(start.elapsed() < EVENT_TIMEOUT, "the process did not reach state {state}");
             std::thread::yield_now();
         }
     }
 
-    /// The fields of `/proc/PID/stat` from the third on, which is the state of the main thread.
+    /// Returns the fields of `/proc/PID/stat` from the third, the state of the main thread.
     #[cfg(target_os = "linux")]
     fn stat_fields(&self) -> Vec<String> {
         let text = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        // The name of the program, in parentheses, is the second field.
+        // The second field is the program name in parentheses, which may itself contain spaces.
         let fields_from_third = text.rsplit(')').next().unwrap().split_whitespace();
         fields_from_third.map(String::from).collect()
     }
 
-    /// The line of the log with the counters. It comes after the pooler has handled all earlier events.
+    /// Returns the log line with the counters. The pooler writes it after it has handled all earlier events.
     pub fn counters(&self) -> String {
         self.signal(Signal::User1);
         self.wait_for_log("requests_received=")
     }
 
-    /// Requires that the line with the counters contains `text`.
+    /// Asserts that the log line with the counters contains `text`.
     #[track_caller]
     pub fn expect_counters(&self, text: &str) {
         let counters = self.counters();
-        assert!(counters.contains(text), "no '{text}' in {counters}");
+        assert!(counters.contains(text), "expected '{text}' in the counters: {counters}");
     }
 
-    /// Waits until the pooler has handled all that was sent to it so far.
+    /// Waits until the pooler has handled all earlier events.
     pub fn wait_until_events_handled(&self) {
         self.counters();
     }
 
-    /// The processor time of the process so far: its time in user mode and in the kernel, which are the 14th
-    /// and the 15th field of the file.
+    /// Returns the CPU time that the process has used, in user mode and in the kernel: the 14th and the 15th
+    /// field of `/proc/PID/stat`.
     #[cfg(target_os = "linux")]
     pub fn cpu_seconds(&self) -> f64 {
         let fields_from_third = self.stat_fields();
@@ -201,7 +205,7 @@
         ticks.map(|ticks| ticks.parse::<f64>().unwrap() / TICKS_PER_SECOND).sum()
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the process to exit.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().unwrap()
     }
@@ -215,7 +219,7 @@
     }
 }
 
-/// Reads the log in a thread of its own, so that the program never blocks while it writes to it.
+/// Reads the log in a separate thread, so that the program never blocks on a full pipe.
 fn read_lines(stderr: ChildStderr) -> Receiver<String> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
--- a/tests/loopback/harness/request.rs
+++ b/tests/loopback/harness/request.rs
@@ -1,11 +1,11 @@
-//! Statements with the comment in which clients describe their request.
+//! Queries with the comment that describes the request to the pooler.
 
 use super::wire::query_message;
 
-/// The time that a request has by default, in milliseconds.
+/// The default deadline of a request, in milliseconds.
 const DEFAULT_DEADLINE_MS: u64 = 8500;
 
-/// A statement whose comment holds the fields that the pooler reads.
+/// A query whose leading comment holds the fields that the pooler reads.
 pub struct Request {
     id: String,
     class: &'static str,
@@ -16,7 +16,7 @@
 }
 
 impl Request {
-    /// A request of one of the classes of the configuration.
+    /// Creates a request of a class that the configuration defines.
     pub fn new(id: impl ToString, class: &'static str) -> Request {
         Request {
             id: id.to_string(),
@@ -28,27 +28,27 @@
         }
     }
 
-    /// Sets the time that the client waits at most.
+    /// Sets the deadline: the longest time that the client waits, in milliseconds.
     pub fn deadline_ms(self, deadline_ms: u64) -> Request {
         Request { deadline_ms, ..self }
     }
 
-    /// Sets the group of database hosts that holds the data.
+    /// Sets the group of database hosts that the request is for.
     pub fn group(self, group: u32) -> Request {
         Request { group, ..self }
     }
 
-    /// Asks for a host that has replayed commits up to `position`.
+    /// Requires a host that has replayed the log up to `position`.
     pub fn after(self, position: i64) -> Request {
         Request { after: Some(position), ..self }
     }
 
-    /// Makes the statement about as long as the limit allows, by a literal of 64 KiB in hexadecimal.
+    /// Adds a literal of 64 KiB in hexadecimal, which makes the statement about as long as the limit allows.
     pub fn with_large_literal(self) -> Request {
         Request { condition: format!(" AND doc = '\\x{}'", "9f".repeat(64 * 1024)), ..self }
     }
 
-    /// The comment and the statement.
+    /// Returns the comment and the statement.
     pub fn sql(&self) -> String {
         let Request { id, class, deadline_ms, group, condition, .. } = self;
         let after = self.after.map(|position| format!(",after={position}")).unwrap_or_default();
@@ -58,13 +58,13 @@
         )
     }
 
-    /// The Query message.
+    /// Returns the request as a Query message.
     pub fn message(&self) -> Vec<u8> {
         query_message(&self.sql())
     }
 }
 
-/// The deadline in the comment of a forwarded statement.
+/// Returns the deadline in the comment of a forwarded query, in milliseconds.
 pub fn deadline_field(sql: &str) -> u64 {
     let after_name = sql.split_once(",d=").unwrap().1;
     after_name.split(',').next().unwrap().parse().unwrap()
--- a/tests/loopback/harness/setup.rs
+++ b/tests/loopback/harness/setup.rs
@@ -1,4 +1,4 @@
-//! Common first steps of the tests.
+//! Setup steps that the tests share.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,27 +7,28 @@
     connect_client, Connection, DatabaseHost, DiscoveryService, Edit, EndpointList, Pooler, Request, Role,
 };
 
-/// A value with bytes that are neither text nor free of zeros.
+/// A value that is not valid UTF-8 and contains a zero byte.
 pub const BINARY_VALUE: &[u8] = b"\x9f\x00\x03";
 
-/// Leaves places for three clients beside the reserved descriptors.
+/// Limits the pooler to three client connections: half of the 6 descriptors that remain besides the 16
+/// reserved ones.
 pub const THREE_CLIENT_LIMIT: Edit = Edit { from: r#""sockets":1024"#, to: r#""sockets":22"# };
 
 /// Enables health checks.
 pub const HEALTH_CHECKS: Edit = Edit { from: r#""probes":false"#, to: r#""probes":true"# };
 
-/// Starts a pooler that knows one database host, and a discovery service that has sent nothing.
+/// Starts a pooler that knows one database host, and a discovery service that has not sent a list.
 pub fn start_with_one_host(host: &DatabaseHost, edits: &[Edit]) -> (Pooler, DiscoveryService) {
     let discovery = DiscoveryService::new();
     let known = EndpointList::snapshot(41, [host.entry("s-1", "here")]);
     (Pooler::start(&known, &discovery, edits), discovery)
 }
 
-/// The group of the primary that [`start_with_known_clock`] adds.
+/// The group of the primary that [`start_with_known_clock`] starts.
 const OTHER_GROUP: u32 = 3;
 
-/// Starts a pooler that knows one database host, and a primary of another group, whose answer to a write has
-/// shown it the hosts' clock.
+/// Starts a pooler that knows one database host, and the primary of another group. The response of this
+/// primary to a write has told the pooler the database hosts' clock.
 pub fn start_with_known_clock(
     host: &DatabaseHost,
     edits: &[Edit],
@@ -47,15 +48,15 @@
     (pooler, discovery, primary)
 }
 
-/// Starts a pooler that knows two database hosts. The first is in its own zone and preferred.
+/// Starts a pooler that knows two database hosts. It prefers the first, which is in its own zone.
 pub fn start_with_two_hosts(near: &DatabaseHost, far: &DatabaseHost) -> (Pooler, DiscoveryService) {
     let discovery = DiscoveryService::new();
     let known = EndpointList::snapshot(41, [near.entry("s-1", "here"), far.entry("s-2", "there")]);
     (Pooler::start(&known, &discovery, &[]), discovery)
 }
 
-/// Sends a read that the next connection to `host` has to get, and answers it. Returns that connection, which
-/// the pooler keeps as idle.
+/// Sends a read, expects it on a new connection to `host` and answers it. Returns that connection, which the
+/// pooler keeps in its pool of idle connections.
 pub fn complete_read(host: &DatabaseHost, client: &mut Connection) -> Connection {
     client.send(&Request::new("warm", "reports").message());
     let mut backend = host.accept();
@@ -65,8 +66,8 @@
     backend
 }
 
-/// Sends a read for each client, of which the next connections to `host` have to get one each. Returns these
-/// connections, whose reads are still to be answered.
+/// Sends a read from each client and expects each on a new connection to `host`. Returns these connections,
+/// on which the reads are not yet answered.
 pub fn start_reads(host: &DatabaseHost, clients: &mut [Connection]) -> Vec<Connection> {
     let mut backends = Vec::new();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -78,7 +79,7 @@
     backends
 }
 
-/// Sends a write, which `host` answers as the primary. Returns the connection that carried it.
+/// Sends a write, which `host` answers as the primary. Returns the connection on which it was sent.
 pub fn complete_write(host: &DatabaseHost, client: &mut Connection) -> Connection {
     client.send(&Request::new("0", "order-write").message());
     let mut backend = host.accept();
@@ -88,7 +89,7 @@
     backend
 }
 
-/// The time since the Unix epoch, by which load reports and commit positions count.
+/// Returns the time since the Unix epoch, on which log positions and the times in load reports are based.
 pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap()
 }
