--- a/tests/loopback/attempts.rs
+++ b/tests/loopback/attempts.rs
@@ -1,4 +1,4 @@
-//! Retries: which failures lead to another attempt, and what the client is told otherwise.
+//! Retries: which failures lead to another attempt, and which error the client gets otherwise.
 
 use rstest::rstest;
 
@@ -8,7 +8,7 @@
     std::thread::spawn(action);
 }
 
-/// When the connection of an attempt fails.
+/// The point at which the connection of an attempt fails.
 enum FailurePoint {
     ConnectionRefused,
     DuringStartup,
@@ -17,7 +17,7 @@
 }
 
 impl FailurePoint {
-    /// Makes the next connection to `host` fail at this point, and refuses all later ones.
+    /// Makes the next connection to `host` fail at this point. Later connections are refused.
     fn apply(self, host: DatabaseHost) {
         match self {
             FailurePoint::ConnectionRefused => drop(host),
@@ -57,7 +57,7 @@
     pooler.expect_counters(expected_counters);
 }
 
-/// If the whole value has arrived before the reset, it is served and the read is not retried.
+/// If the complete value has arrived before the reset, it is served and the read is not retried.
 #[test]
 fn a_complete_value_is_served_even_if_its_connection_is_reset_afterwards() {
     let near = DatabaseHost::new();
@@ -73,11 +73,11 @@
     pooler.expect_counters(" attempts_sent=1 success=1 ");
 }
 
-/// Makes the class of writes one that must not run twice.
+/// Makes the requests of the write class non-idempotent.
 const NON_IDEMPOTENT_WRITES: Edit =
     Edit { from: r#""effect":"idempotency_key""#, to: r#""effect":"non_idempotent""# };
 
-/// A write with so little time that a test can wait for its deadline.
+/// Returns a write with a short deadline, so that a test can wait for it.
 fn write_with_short_deadline() -> Request {
     Request::new("1", "order-write").deadline_ms(400)
 }
@@ -87,7 +87,7 @@
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[NON_IDEMPOTENT_WRITES]);
     let mut client = connect_client(&pooler);
-    // The first write shows which host is the primary.
+    // The response to this write tells the pooler which host is the primary.
     let backend = complete_write(&host, &mut client);
     backend.close();
     host.close();
@@ -95,14 +95,14 @@
     client.expect_error("53300");
 }
 
-/// What happens to a write after the host has received it.
+/// How a write fails after the host has received it.
 enum WriteFailure {
     ResetAtOnce,
     ResetMidResponse,
     Unanswered,
 }
 
-/// A write that must not run twice may only be retried if it cannot have run.
+/// A non-idempotent write may be retried only if it is certain that it was not executed.
 #[rstest]
 #[case::reset_before_the_response(WriteFailure::ResetAtOnce, "58000")]
 #[case::reset_during_the_response(WriteFailure::ResetMidResponse, "58000")]
@@ -114,7 +114,7 @@
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[NON_IDEMPOTENT_WRITES]);
     let mut client = connect_client(&pooler);
-    // The first write shows which host is the primary.
+    // The response to this write tells the pooler which host is the primary.
     let mut backend = complete_write(&host, &mut client);
     client.send(&write_with_short_deadline().message());
     backend.expect_request("1");
@@ -131,15 +131,15 @@
         WriteFailure::Unanswered => Some(backend),
     };
     client.expect_error(sqlstate);
-    // The host's next query is another request.
+    // The next query that the host receives is another request.
     complete_read(&host, &mut client);
 }
 
-/// Closes every connection on which request 1 arrives, answers request 2 and returns how often request 1
-/// came.
+/// Closes every connection on which request 1 arrives and answers request 2. Returns the number of attempts
+/// of request 1.
 fn count_attempts_until_next_request(host: &DatabaseHost) -> usize {
     let mut attempts = 0;
-    // One connection at a time: the pooler sees the end of an attempt before it makes the next.
+    // One connection at a time is enough: the pooler makes an attempt only after the previous one has ended.
     while attempts < 6 {
         let mut backend = host.accept();
         let Some(message) = backend.receive() else { continue };
@@ -159,12 +159,12 @@
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut client = connect_client(&pooler);
-    // The first write shows which host is the primary.
+    // The response to this write tells the pooler which host is the primary.
     let backend = complete_write(&host, &mut client);
     drop(backend);
     client.send(&Request::new("1", "order-write").message());
     let attempts = std::thread::spawn(move || count_attempts_until_next_request(&host));
-    // The error is not a rejection, which would tell the client that it is safe to send the write again.
+    // The error is not a rejection, after which the client could safely send the write again.
     assert_eq!(client.receive_error(), ErrorResponse { sqlstate: "58000".to_string(), detail: None });
     client.send(&Request::new("2", "reports").message());
     client.expect_result();
@@ -212,7 +212,7 @@
         backend.send(&error_response(sqlstate));
         client.expect_error("22023");
     }
-    // No other host gets the statement, and this one is still preferred.
+    // The statement was sent to no other host, and this host is still preferred.
     client.send(&Request::new("6", "reports").message());
     backend.receive_query();
     backend.send_result(BINARY_VALUE, Role::Reader);
--- a/tests/loopback/backend_pool.rs
+++ b/tests/loopback/backend_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to database hosts.
+//! Reuse of idle connections to database hosts.
 
 use std::net::Shutdown;
 
--- a/tests/loopback/cancellation.rs
+++ b/tests/loopback/cancellation.rs
@@ -1,11 +1,11 @@
-//! Cancel requests and clients that disconnect before the response.
+//! Cancel requests, and clients that disconnect before they have a response.
 
 use rstest::rstest;
 
 use crate::harness::*;
 
-/// The pooler once stopped reading from a client with too much unread input, and so did not see that the
-/// client had disconnected. The attempt for its query went on.
+/// Guards against missing the disconnect of a client with more pipelined input than is buffered: the pooler
+/// stopped reading from it, and the attempt of its current query was not cancelled.
 #[rstest]
 #[case::no_unread_input(0)]
 #[case::more_unread_input_than_is_buffered(2000)]
@@ -52,7 +52,7 @@
     pooler.expect_counters(" cancelled=1");
 }
 
-/// A query that waits for a replica that is fresh enough must not be sent after its client has cancelled it
+/// A query that is queued until a replica is fresh enough must not be sent after its client has cancelled it
 /// or has disconnected.
 #[rstest]
 #[case::cancelled(true)]
@@ -71,7 +71,7 @@
         drop(waiting);
     }
     while !pooler.counters().contains(" client_disconnects=1 ") {}
-    // From this report on the replica is fresh enough for the query.
+    // With this report, the replica is fresh enough for the query.
     let fresh_report = format!("x0={:.3},x1=0", unix_time().as_secs_f64());
     backend.send_result(fresh_report.as_bytes(), Role::Reader);
     let mut other = connect_client(&pooler);
@@ -81,9 +81,9 @@
     other.expect_result();
 }
 
-/// Of events that came together, the readiness of a connection to an endpoint was once handled before the end
-/// of the client that its query was for. The pooler is stopped in its poll: stopped anywhere else, it may
-/// complete the step that it was in before it can see the end of the client.
+/// Guards against handling the readiness of a backend connection before the disconnect of the client whose
+/// query is to be sent on it, if one poll returns both events. The pooler is suspended while it polls:
+/// elsewhere it could complete its current step before it can notice the disconnect.
 #[cfg(target_os = "linux")]
 #[test]
 fn a_query_is_not_sent_if_its_client_has_disconnected_while_the_pooler_was_stopped() {
@@ -94,7 +94,8 @@
     let mut backend = host.accept_unanswered_startup();
     pooler.stop_while_idle();
     backend.complete_startup();
-    // Not a drop: a process that another test is starting may hold a copy of the descriptor for a moment.
+    // A drop could close the connection later: a child process that another test is starting briefly holds
+    // copies of all descriptors.
     client.stream.shutdown(std::net::Shutdown::Both).unwrap();
     pooler.signal(Signal::Continue);
     backend.expect_closed_without_query();
--- a/tests/loopback/client_limits.rs
+++ b/tests/loopback/client_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on clients: connections, idle time, memory and processor time.
+//! Limits on clients: connections, idle time, memory and CPU time.
 
 use std::io::Write;
 use std::time::Duration;
@@ -12,10 +12,10 @@
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENT_LIMIT]);
     let mut clients: Vec<Connection> = (0..3).map(|_| connect_client(&pooler)).collect();
-    // The limit is three clients: none of them is closed before a fourth connects.
+    // At the limit of three clients, none is closed before a fourth connects.
     pooler.expect_counters("clients_accepted=3");
     clients.push(connect_client(&pooler));
-    // The first has been idle for longest.
+    // The first client has been idle for longest.
     clients.remove(0).expect_closed();
     let mut backends = start_reads(&host, &mut clients);
     let mut fourth = connect_without_startup(&pooler);
@@ -23,12 +23,12 @@
     pooler.wait_for_log("all client connections are busy: new connections wait");
     backends[1].send_result(BINARY_VALUE, Role::Reader);
     clients[1].expect_result();
-    // The late client takes the place of the one that is idle now.
+    // The client that is idle now is closed, and the waiting one is accepted.
     fourth.receive_response();
     clients[1].expect_closed();
 }
 
-/// An idle client was once closed to make room for a new one although its next query had already arrived. The
+/// Guards against closing an idle connection for a new client after the next query has arrived on it. That
 /// query was lost unread.
 #[test]
 fn a_client_whose_query_has_arrived_is_not_closed_for_a_new_client() {
@@ -36,8 +36,8 @@
     let (pooler, _discovery) = start_with_one_host(&host, &[THREE_CLIENT_LIMIT]);
     let mut clients: Vec<Connection> = (0..3).map(|_| connect_client(&pooler)).collect();
     let mut backend = complete_read(&host, &mut clients[1]);
-    // While the pooler is stopped, a new client connects and then the client that is idle for longest sends a
-    // query.
+    // While the pooler is suspended, a new client connects, and then the client that has been idle for
+    // longest sends a query.
     pooler.signal(Signal::Stop);
     let mut new_client = connect_without_startup(&pooler);
     clients[0].send(&Request::new("1", "reports").message());
@@ -50,7 +50,7 @@
     clients[2].expect_closed_without_reset();
 }
 
-/// The first bytes of a query, without its end.
+/// An incomplete Query message.
 fn partial_query() -> Vec<u8> {
     Request::new("1", "reports").message()[..40].to_vec()
 }
@@ -76,7 +76,7 @@
         silent.expect_error(sqlstate);
     }
     silent.expect_closed();
-    // A client that has sent a query may be idle.
+    // A client that has completed a query may stay idle.
     complete_read(&host, &mut active);
     pooler.expect_counters(" client_timeouts=1 ");
 }
@@ -92,11 +92,11 @@
     busy_backend.receive_query();
     let mut idle_backend = complete_read(&host, &mut idle);
     idle.expect_closed_without_reset();
-    // A query that crosses the close is not forwarded. It causes no reset either, which could overtake a
-    // response.
+    // A query sent after the close is not forwarded. It causes no reset either, which could reach the client
+    // before a response.
     idle.send(&Request::new("2", "reports").message());
     pooler.expect_counters(" client_timeouts=0 idle_closed=1 ");
-    // After a reset this could not be sent.
+    // After a reset this send would fail.
     idle.send(&Request::new("2", "reports").message());
     let mut other = connect_client(&pooler);
     other.send(&Request::new("3", "reports").message());
@@ -107,7 +107,7 @@
     busy.expect_result();
 }
 
-/// The number of malformed queries so far.
+/// Returns the number of malformed queries that the pooler has counted.
 fn malformed_query_count(pooler: &Pooler) -> u64 {
     let counters = pooler.counters();
     let after_name = counters.split("malformed=").nth(1).unwrap();
@@ -125,7 +125,7 @@
     std::thread::spawn(
         move || while flooding.stream.write_all(&query_message("SELECT 1").repeat(1000)).is_ok() {},
     );
-    // Waits until the flood has reached the pooler.
+    // Wait until the pooler is processing the flood of queries.
     while malformed_query_count(&pooler) < 1000 {}
     complete_read(&host, &mut normal);
 }
@@ -137,7 +137,7 @@
     let (pooler, _discovery) = start_with_one_host(&host, &[one_megabyte]);
     let mut clients = Vec::new();
     let mut backends = Vec::new();
-    // Requests share half a megabyte. Two of the greatest length and their copies for forwarding fill it.
+    // Requests may use half a megabyte. Two of the maximum length and their forwarded copies exhaust it.
     for number in 0..2 {
         let mut client = connect_client(&pooler);
         client.send(&Request::new(number, "reports").with_large_literal().message());
@@ -151,20 +151,20 @@
     third.expect_error("53300");
     backends[0].send_result(BINARY_VALUE, Role::Reader);
     clients[0].expect_result();
-    // The host got nothing of the rejected query: it receives another one next.
+    // The rejected query was not forwarded: the next query that the host receives is another one.
     third.send(&Request::new("3", "reports").with_large_literal().message());
     backends[0].expect_request("3");
 }
 
-/// The error once waited for the next event of the connection, which never comes from a client that has
-/// stopped.
+/// Guards against sending the error only at the next event of the connection, which never occurs if the
+/// client has stopped sending.
 #[test]
 fn a_client_that_stalls_in_a_query_that_does_not_fit_into_memory_gets_an_error() {
     let host = DatabaseHost::new();
     let one_megabyte = Edit { from: r#""memory_mb":192"#, to: r#""memory_mb":1"# };
     let (pooler, _discovery) = start_with_one_host(&host, &[one_megabyte]);
     let mut busy = Vec::new();
-    // Two requests of the greatest length fill most of the memory.
+    // Two requests of the maximum length use most of the memory.
     for number in 0..2 {
         let mut client = connect_client(&pooler);
         client.send(&Request::new(number, "reports").with_large_literal().message());
@@ -172,7 +172,7 @@
         backend.receive_query();
         busy.push((client, backend));
     }
-    // Unfinished queries take what is left but a few kilobytes.
+    // Incomplete queries use the rest except for a few kilobytes.
     let query = Request::new("2", "reports").with_large_literal().message();
     let mut unfinished = Vec::new();
     for length in [query.len() - 1, 30_000] {
@@ -182,7 +182,8 @@
         unfinished.push(client);
     }
     let mut stalled = connect_client(&pooler);
-    // The pooler finds all at once, so that no event follows.
+    // The pooler is suspended during the send, so that it receives all bytes in one event and no other
+    // follows.
     pooler.signal(Signal::Stop);
     stalled.send(&query[..50_000]);
     pooler.signal(Signal::Continue);
@@ -190,5 +191,5 @@
     stalled.expect_error("53200");
 }
 
-/// Within this time a client that sends what cannot be used is owed an error or the end of its connection.
+/// Time within which a client whose input cannot be processed must get an error or be disconnected.
 const INVALID_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
--- a/tests/loopback/client_protocol.rs
+++ b/tests/loopback/client_protocol.rs
@@ -1,4 +1,4 @@
-//! What clients send: queries, malformed messages and startup.
+//! The protocol between clients and the pooler: startup, queries and malformed messages.
 
 use std::io::{Read, Write};
 
@@ -18,7 +18,7 @@
     let mut client = connect_client(&pooler);
     let first = Request::new("9b1f", "reports");
     let second = Request::new("9b20", "reports");
-    // The client sends two queries without waiting: the responses keep their order.
+    // The client pipelines two queries. Their responses arrive in the same order.
     let queries = [first.message(), second.message()].concat();
     queries.chunks(piece_size).for_each(|piece| client.send(piece));
     let mut backend = host.accept();
@@ -31,7 +31,7 @@
     let response = result_response(BINARY_VALUE, Role::Reader);
     response.chunks(piece_size).for_each(|piece| backend.send(piece));
     assert_eq!(encode_all(&client.receive_response()), result_set(BINARY_VALUE));
-    // The second query is forwarded on the same connection.
+    // The second query is forwarded on the same backend connection.
     backend.expect_request("9b20");
     backend.send_result(b"second", Role::Reader);
     client.expect_value(b"second");
@@ -51,7 +51,7 @@
     let mut backend = host.accept();
     let forwarded = backend.receive_query();
     let statement = |sql: &str| sql.split_once("*/").unwrap().1.to_string();
-    assert!(statement(&forwarded) == statement(&request.sql()), "the statement has changed");
+    assert!(statement(&forwarded) == statement(&request.sql()), "the forwarded statement differs");
     let value = BINARY_VALUE.repeat(64 * 1024 / BINARY_VALUE.len());
     backend.send_result(&value, Role::Reader);
     client.expect_value(&value);
@@ -75,7 +75,7 @@
     let mut client = connect_client(&pooler);
     client.send(&query_message(sql));
     client.expect_error(sqlstate);
-    // The client stays connected, and the host's first query is the next one.
+    // The client stays connected, and the first query that the host receives is the next one.
     complete_read(&host, &mut client);
     pooler.expect_counters("requests_received=1 malformed=1");
 }
@@ -109,8 +109,8 @@
     complete_read(&host, &mut connect_client(&pooler));
 }
 
-/// The pooler once discarded only one buffer of what the client still sent. Closing the socket with the rest
-/// unread causes a reset, which can reach the client before the error does.
+/// Guards against discarding only one buffer of the remaining input. Closing the socket with unread input
+/// resets the connection, and the reset can reach the client before the error.
 #[test]
 fn a_client_that_keeps_sending_after_a_framing_error_gets_the_error_and_no_reset() {
     let host = DatabaseHost::new();
@@ -123,12 +123,12 @@
     });
     broken.expect_error("54000");
     broken.expect_closed_without_reset();
-    sender.join().unwrap().expect("the pooler reads all of it");
+    sender.join().unwrap().expect("the pooler did not read all input");
     complete_read(&host, &mut connect_client(&pooler));
 }
 
-/// The pooler once shut down the sending side again on every wake-up, and each shutdown caused the next
-/// wake-up: a connection in its last second used a whole core.
+/// Guards against shutting down the sending side of a closing connection on each of its events. Each shutdown
+/// raises another event, so that one connection kept a CPU core busy for the second until it was closed.
 #[test]
 #[cfg(target_os = "linux")]
 fn a_connection_that_is_being_closed_uses_no_processor_time() {
@@ -140,7 +140,7 @@
         client.expect_error("08P01");
         client.expect_closed_without_reset();
     }
-    // They keep their side open. A client that comes now and sends no query is closed after all of them.
+    // These clients keep their side open. A client that connects now and sends no query is closed after them.
     connect_client(&pooler).expect_closed();
     assert!(pooler.cpu_seconds() < 0.5, "{} s", pooler.cpu_seconds());
 }
@@ -155,12 +155,15 @@
     let mut byte = [0];
     client.stream.read_exact(&mut byte).unwrap();
     assert_eq!(byte, [ENCRYPTION_DECLINED]);
-    // The query follows the startup message without waiting.
+    // The client sends the query without waiting for the response to its startup message.
     client.send(&[startup_message(), query_message("")].concat());
     client.receive_response();
     pooler.wait_until_events_handled();
     client.stream.set_nonblocking(true).unwrap();
-    assert!(client.stream.peek(&mut byte).is_err(), "answered before there was a list");
+    assert!(
+        client.stream.peek(&mut byte).is_err(),
+        "the query was answered before an endpoint list was known"
+    );
     client.stream.set_nonblocking(false).unwrap();
 
     let mut watch = discovery.accept();
--- a/tests/loopback/clocks.rs
+++ b/tests/loopback/clocks.rs
@@ -1,5 +1,5 @@
-//! A machine whose clock is wrong by seconds or by an hour. Only the difference between the clocks matters,
-//! so the tests move that of the database hosts.
+//! Clock skew of seconds or of an hour between the pooler and the database hosts. Only the difference
+//! matters, so the tests shift the clock of the database hosts.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -10,17 +10,17 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// Reads that a test sends, one after another.
+/// The number of reads of a kind that a test sends, one after another.
 const READS: usize = 40;
 
-/// A database host that answers every query at once.
+/// A database host that answers every query immediately.
 struct AnsweringHost {
     entry: EndpointEntry,
     answered: Arc<AtomicUsize>,
 }
 
 impl AnsweringHost {
-    /// Starts a host whose log position differs by `position_offset_ms` from the pooler's clock.
+    /// Starts a host whose log position is the pooler's clock plus `position_offset_ms`.
     fn start(name: &str, zone: &str, role: Role, position_offset_ms: i64) -> AnsweringHost {
         let host = DatabaseHost::new();
         let entry = host.entry(name, zone);
@@ -40,8 +40,8 @@
     }
 }
 
-/// A primary in another zone and a replica in the pooler's own, whose clock differs by `offset_ms` from the
-/// pooler's.
+/// Starts a primary in another zone and a replica in the pooler's own zone. Their clock is the pooler's plus
+/// `offset_ms`; the replica lags by `lag_ms`.
 fn start_cluster(offset_ms: i64, lag_ms: i64) -> (AnsweringHost, AnsweringHost) {
     let primary = AnsweringHost::start("s-1", "there", Role::Writer, offset_ms);
     let replica = AnsweringHost::start("s-2", "here", Role::Reader, offset_ms - lag_ms);
@@ -63,8 +63,8 @@
     client.expect_result();
 }
 
-/// How many of the bounded reads the replica gets, which lags by so much. Reads that any host may answer and
-/// writes are sent between them.
+/// Sends bounded reads, with writes and reads of eventual consistency between them. Returns how many of the
+/// bounded reads the replica answers.
 fn bounded_reads_at_replica(offset_ms: i64, lag_ms: i64) -> usize {
     let (primary, replica) = start_cluster(offset_ms, lag_ms);
     let (pooler, _discovery) = start_pooler(primary.entry, replica.entry, &[]);
@@ -80,16 +80,17 @@
     at_replica
 }
 
-/// The pooler once compared log positions with its own clock, so that no replica was ever fresh enough.
+/// Guards against comparing log positions with the pooler's own clock, by which no replica was fresh enough.
 #[rstest]
 fn a_fresh_replica_gets_the_bounded_reads_under_clock_skew(
     #[values(-HOUR_MS, -5000, -500, 0, 500, 5000, HOUR_MS)] offset_ms: i64,
 ) {
     let at_replica = bounded_reads_at_replica(offset_ms, 10);
-    assert!(at_replica >= READS - 5, "{at_replica} of {READS}");
+    assert!(at_replica >= READS - 5, "the replica answered {at_replica} of {READS} reads");
 }
 
-/// A position that is 6 s old passed for 1 s old where the pooler's clock was 5 s behind.
+/// Guards against measuring the age of a position by the pooler's clock: if that is 5 s behind, a position
+/// that is 6 s old seems to be 1 s old.
 #[rstest]
 fn a_lagging_replica_gets_no_bounded_read_under_clock_skew(
     #[values(-HOUR_MS, -5000, 0, 5000, HOUR_MS)] offset_ms: i64,
@@ -98,7 +99,8 @@
     assert_eq!(bounded_reads_at_replica(offset_ms, lag_ms), 0);
 }
 
-/// A host that has just started once passed for a warm one where the pooler's clock was ahead.
+/// Guards against measuring the time since the start of a host by the pooler's clock: if that is ahead, slow
+/// start ends too early.
 #[rstest]
 fn a_host_that_has_just_started_is_in_slow_start_under_clock_skew(
     #[values(-HOUR_MS, -5000, 0, 5000, HOUR_MS)] offset_ms: i64,
@@ -113,21 +115,24 @@
         read(&mut client, number, "reports");
     }
     let at_replica = replica.answered.load(Ordering::Relaxed);
-    assert!((1..100).contains(&at_replica), "{at_replica} of 200 at a fifth of the capacity");
+    assert!(
+        (1..100).contains(&at_replica),
+        "the replica answered {at_replica} of 200 reads at a fifth of its capacity"
+    );
 }
 
-/// With this setting, clients carry the commit position that a session's read has to see.
-const CARRIED_POSITIONS: Edit =
-    Edit { from: r#""writeMarks":"remembered""#, to: r#""writeMarks":"carried""# };
+/// With this setting, clients carry the session token: the log position that reads of their session require.
+const CARRIED_TOKENS: Edit = Edit { from: r#""writeMarks":"remembered""#, to: r#""writeMarks":"carried""# };
 
-/// The replica lags by half a second, so that it never has the commit of the write before.
+/// The replica lags by half a second, so that it has not yet replayed the preceding write when the read is
+/// sent.
 #[rstest]
 fn a_session_sees_its_writes_under_clock_skew(
     #[values(-HOUR_MS, -5000, 0, 5000, HOUR_MS)] offset_ms: i64,
-    #[values(false, true)] client_carries_position: bool,
+    #[values(false, true)] client_carries_token: bool,
 ) {
     let (primary, replica) = start_cluster(offset_ms, 500);
-    let edits = if client_carries_position { vec![CARRIED_POSITIONS] } else { Vec::new() };
+    let edits = if client_carries_token { vec![CARRIED_TOKENS] } else { Vec::new() };
     let (pooler, _discovery) = start_pooler(primary.entry, replica.entry, &edits);
     let mut client = connect_client(&pooler);
     for number in 0..READS {
@@ -136,14 +141,18 @@
         let committed_at = unix_time().as_millis() as i64 + offset_ms;
         let before = replica.answered.load(Ordering::Relaxed);
         let request = Request::new(format!("s{number}"), "own-orders");
-        let request = if client_carries_position { request.after(committed_at) } else { request };
+        let request = if client_carries_token { request.after(committed_at) } else { request };
         client.send(&request.message());
         client.expect_result();
-        assert_eq!(replica.answered.load(Ordering::Relaxed), before, "read {number} missed its write");
+        assert_eq!(
+            replica.answered.load(Ordering::Relaxed),
+            before,
+            "read {number} went to the replica, which has not replayed the write"
+        );
     }
 }
 
-/// Reads that must see every commit go to the primary.
+/// A strong read must see all commits, which only the primary is certain to have.
 #[rstest]
 fn a_strong_read_goes_to_the_primary_under_clock_skew(#[values(-HOUR_MS, HOUR_MS)] offset_ms: i64) {
     let (primary, replica) = start_cluster(offset_ms, 0);
--- a/tests/loopback/deadlines.rs
+++ b/tests/loopback/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines of requests.
+//! Deadlines of requests: silent hosts and pipelined queries.
 
 use crate::harness::*;
 
@@ -14,8 +14,8 @@
     backend.expect_closed();
 }
 
-/// The time of a query behind another on its connection once started only when its turn came, so that it was
-/// sent after its client had given up.
+/// Guards against starting the deadline of a pipelined query only once the query before it is answered. It
+/// was then sent although its client had stopped waiting.
 #[test]
 fn the_deadline_of_a_query_runs_while_it_waits_behind_another() {
     let host = DatabaseHost::new();
@@ -29,7 +29,7 @@
     let third = Request::new("3", "reports");
     pipelining.send(&[second.message(), third.message()].concat());
     pooler.wait_until_events_handled();
-    // The fourth request is sent later and has more time than the second. Once it has expired, so has the
+    // The fourth request is sent after the second and has a longer deadline. Once it has expired, so has the
     // second.
     other.send(&Request::new("4", "reports").deadline_ms(500).message());
     let mut silent = host.accept();
@@ -38,7 +38,7 @@
     backend.send_result(BINARY_VALUE, Role::Reader);
     pipelining.expect_result();
     pipelining.expect_error("53300");
-    // The host gets the third next, with no more time than its client still waits.
+    // The host receives the third request next, with no more than the remaining time of its client.
     let forwarded = backend.receive_query();
     assert!(forwarded.contains("id=3,") && deadline_field(&forwarded) <= 8100, "{forwarded}");
     backend.send_result(BINARY_VALUE, Role::Reader);
--- a/tests/loopback/discovery.rs
+++ b/tests/loopback/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list: lists, failures and silence.
+//! The watch of the endpoint list: the lists it accepts, its failures and its timeouts.
 
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -7,10 +7,11 @@
 
 use crate::harness::*;
 
-/// A silent discovery service has to be noticed, and called again, in less than this.
+/// Time limit for detecting a stalled watch, opening another and applying its list. The discovery service
+/// treats the pooler as informed after 6 s.
 const REOPEN_LIMIT: Duration = Duration::from_secs(5);
 
-/// The change after which the pooler closes its idle connections to `host`.
+/// Returns an update that drains `host`, upon which the pooler closes its idle connections to it.
 fn draining_update(host: &DatabaseHost) -> EndpointList {
     EndpointList::update(42, [host.entry("s-1", "here").with_status("DRAINING")])
 }
@@ -29,22 +30,21 @@
     let mut idle = complete_read(&old, &mut client);
     let mut failing = discovery.accept();
     failing.expect_since(41);
-    // The pooler may end the connection before it has read all of a long response.
+    // The send fails if the pooler closes the connection before it has read all of a long response.
     let _ = failing.stream.write_all(response.as_bytes());
     let mut watch = discovery.accept();
     watch.expect_since(41);
-    // The host has moved to another address, and the list comes in chunks of one byte.
+    // The list, which moves the host to another address, is sent in chunks of one byte.
     let moved = format!("\n{}\n", EndpointList::update(43, [new.entry("s-1", "here")]));
     watch.send(&[CHUNKED_HEAD.as_bytes(), &chunks_of(moved.as_bytes(), 1)].concat());
     idle.expect_closed();
     complete_read(&new, &mut client);
-    // After the response has ended, the next watch continues from the last list.
+    // After the end of the response, the next watch continues from the latest list.
     watch.send(b"0\r\n\r\n");
     discovery.accept().expect_since(43);
 }
 
-/// Sends that the host is draining, and requires that the pooler applies it well within the 6 s after which
-/// the discovery service treats the pooler as informed.
+/// Drains the host on the next watch, and asserts that the pooler applies this within [`REOPEN_LIMIT`].
 fn expect_drain_in_time(
     discovery: &DiscoveryService,
     host: &DatabaseHost,
@@ -57,7 +57,8 @@
     assert!(started_at.elapsed() < REOPEN_LIMIT, "{:?}", started_at.elapsed());
 }
 
-/// The pooler once waited up to 5 s for a silent watch or call, and up to 1.9 s more before its next call.
+/// Guards against timeouts that add up to more than 6 s: up to 5 s until a silent watch was closed, and up to
+/// 1.9 s more until the next was opened.
 #[rstest]
 #[case::no_head("")]
 #[case::partial_head(&CHUNKED_HEAD[..30])]
@@ -73,7 +74,7 @@
     expect_drain_in_time(&discovery, &host, &mut idle, Instant::now());
 }
 
-/// The time for a list is limited as well, since a list that trickles in never leaves the watch silent for
+/// Guards against a limit on silence only: a list that arrives byte by byte never leaves the watch silent for
 /// long.
 #[test]
 fn a_list_that_never_ends_is_abandoned_in_time() {
@@ -85,7 +86,7 @@
     slow.send(&chunk(b"{"));
     let started_at = Instant::now();
     let mut client = connect_client(&pooler);
-    // Sends one more byte of the list each time the pooler has answered an empty query.
+    // Sends another byte of the list whenever the pooler has answered an empty query.
     std::thread::spawn(move || {
         while slow.stream.write_all(&chunk(b" ")).is_ok() {
             client.send(&query_message(""));
@@ -124,8 +125,7 @@
     discovery.accept().expect_since(42);
 }
 
-/// The pooler once took a complete list without the entry that it could not read, which meant that the host
-/// of that entry was removed.
+/// Guards against skipping an unreadable entry of a complete list, which removed the host of that entry.
 #[rstest]
 #[case::unknown_status("SERVING", "ODD")]
 #[case::address_is_a_name("127.0.0.1", "localhost")]
@@ -141,7 +141,7 @@
     let list = EndpointList::snapshot(43, [first.entry("s-1", "here"), second.entry("s-2", "there")]);
     let first_entry_unreadable = list.to_string().replacen(from, to, 1);
     watch.send_json(&first_entry_unreadable);
-    // The next watch continues from the last readable list, and the host stays in use.
+    // The next watch continues from the last valid list, and the host stays in use.
     discovery.accept().expect_since(41);
     client.send(&Request::new("1", "reports").message());
     backend.expect_request("1");
@@ -159,12 +159,12 @@
     let mut watch = discovery.accept();
     watch.send_list(&draining_update(&host));
     idle.expect_closed();
-    // A draining host gets no new requests.
+    // A draining host gets no further requests.
     client.send(&Request::new("1", "reports").message());
     client.expect_error("53300");
 }
 
-/// Idle clients hold every descriptor of the process while the watch breaks.
+/// The connection of the watch is closed while idle clients hold all file descriptors of the process.
 #[test]
 fn a_pooler_without_free_descriptors_reopens_the_watch_and_serves_queries() {
     let old = DatabaseHost::new();
@@ -176,7 +176,7 @@
     let watch = discovery.accept();
     let clients: Vec<Connection> = (0..60).map(|_| connect_without_startup(&pooler)).collect();
     pooler.wait_for_log("cannot accept a connection");
-    // The watch breaks, and another client of the crowd takes its descriptor.
+    // The watch fails, and the next waiting client takes its descriptor.
     drop(watch);
     pooler.wait_for_log("endpoint watch failed");
     let mut watch = discovery.accept();
@@ -187,8 +187,8 @@
     drop(clients);
 }
 
-/// A connection to a host that began to drain while the session was being started once got its query as soon
-/// as it was ready, which the connect timeout allows for any time after the notice.
+/// Guards against sending a query on a connection whose host began to drain during its startup. The startup,
+/// and with it the query, can be as late as the connect timeout allows.
 #[test]
 fn a_connection_that_is_not_ready_when_its_host_drains_carries_no_query() {
     let near = DatabaseHost::new();
@@ -207,20 +207,20 @@
     pooler.expect_counters(" connect_failed=0 connection_reset=0 cancelled=0 not_sent=1 ");
 }
 
-/// How long a slow discovery service takes for the first byte of its response.
+/// How long a slow discovery service takes to send the first byte of its response.
 const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(1500);
 
-/// Each watch was once given the same time, so that a service that takes longer never told anything.
+/// Guards against a constant timeout, with which no watch ever succeeds if the service takes longer.
 #[test]
 fn a_slow_discovery_service_gets_a_longer_timeout_after_a_failure() {
     let host = DatabaseHost::new();
     let (pooler, discovery) = start_with_one_host(&host, &[]);
     let mut idle = complete_read(&host, &mut connect_client(&pooler));
     let mut first = discovery.accept();
-    assert_eq!(first.stream.read(&mut [0]).unwrap(), 0, "the pooler gives up the first watch");
+    assert_eq!(first.stream.read(&mut [0]).unwrap(), 0, "the pooler did not close the first watch");
     let mut second = discovery.accept();
     second.stream.set_read_timeout(Some(SLOW_RESPONSE_DELAY)).unwrap();
-    assert!(second.stream.read(&mut [0]).is_err(), "the pooler still waits");
+    assert!(second.stream.read(&mut [0]).is_err(), "the pooler did not wait for the second watch");
     second.send_list(&draining_update(&host));
     idle.expect_closed();
 }
--- a/tests/loopback/hedging.rs
+++ b/tests/loopback/hedging.rs
@@ -1,16 +1,16 @@
-//! Hedged requests: a second attempt of a request at another host while the first is in flight.
+//! Hedged requests: a second attempt on another host while the first is still in flight.
 
 use crate::harness::*;
 
-/// Allows hedged requests. An attempt is overdue after 1.2 s; until then its connection may take that long to
-/// come up.
+/// Allows hedged requests. An attempt is overdue after 1.2 s; the connect timeout is longer, so that an
+/// attempt whose connection is not yet established does not fail before that.
 const HEDGING: [Edit; 3] = [
     Edit { from: r#""probes":false"#, to: r#""probes":false,"mayDuplicate":true"# },
     Edit { from: r#""aim":8"#, to: r#""aim":2"# },
     Edit { from: r#""connectTimeout":1"#, to: r#""connectTimeout":5"# },
 ];
 
-/// A read whose first attempt waits for the startup of its connection, while the second was sent.
+/// A read whose first attempt waits for the startup of its connection and whose second attempt is sent.
 struct HedgedRead {
     pooler: Pooler,
     _discovery: DiscoveryService,
@@ -35,8 +35,8 @@
     }
 }
 
-/// Only the latest attempt of a request was known by its connection. The first one was sent once its
-/// connection came up, after the client had its answer.
+/// Guards against recording only the connection of the latest attempt. The first attempt was then sent as
+/// soon as its connection was established, although the client already had its answer.
 #[test]
 fn an_unsent_attempt_is_cancelled_once_its_request_is_answered() {
     let mut read = HedgedRead::start();
--- a/tests/loopback/malformed_responses.rs
+++ b/tests/loopback/malformed_responses.rs
@@ -1,22 +1,23 @@
-//! Malformed responses and unsolicited messages of database hosts.
+//! Malformed responses of database hosts, and unsolicited messages from them.
 
 use rstest::rstest;
 
 use crate::harness::*;
 
-/// A DataRow that announces a value of three gigabytes, without the value.
+/// The start of a DataRow whose length fields announce a value of three gigabytes.
 const THREE_GIGABYTE_ROW: &[u8] = b"D\xb2\xd0\x5e\0\0\x01\xb2\xd0\x5d\xf6";
 
 fn oversized_row() -> Vec<u8> {
     [&row_description(), THREE_GIGABYTE_ROW].concat()
 }
 
-/// A result set from its DataRow on.
+/// A result set without its RowDescription.
 fn row_without_description() -> Vec<u8> {
     result_set(BINARY_VALUE)[row_description().len()..].to_vec()
 }
 
-/// Every byte 3 becomes 2, among them the length of the value.
+/// A result set in which every byte 3 is replaced by 2, so that the length of the value is one less than the
+/// DataRow holds.
 fn value_shorter_than_its_row() -> Vec<u8> {
     result_set(BINARY_VALUE).into_iter().map(|byte| if byte == 3 { 2 } else { byte }).collect()
 }
@@ -38,7 +39,8 @@
     let mut malformed = near.accept();
     malformed.receive_query();
     malformed.send(&response);
-    // The connection is closed, and the read is retried on the other host well within its deadline of 8.5 s.
+    // The pooler closes the connection and retries the read on the other host. It does so on its own, long
+    // before the deadline of 8.5 s.
     malformed.expect_closed();
     let mut backend = far.accept();
     backend.expect_request("1");
--- a/tests/loopback/routing.rs
+++ b/tests/loopback/routing.rs
@@ -1,15 +1,15 @@
-//! Which host gets a request: replicas that are fresh enough, and the primary.
+//! Routing: reads go to replicas that are fresh enough, writes to the primary.
 
 use rstest::rstest;
 
 use crate::harness::*;
 
-/// With this setting, clients carry the commit position that a session's read has to see. The pooler once
-/// ignored it and used any replica.
+/// Guards against ignoring the session token that clients carry with this setting: the log position that
+/// reads of their session require. The read was then sent to any replica.
 #[rstest]
 #[case::replayed_by_the_replica(-1000, true)]
 #[case::not_replayed_by_the_replica(1, false)]
-fn a_read_that_carries_a_commit_position_goes_to_a_host_that_has_replayed_it(
+fn a_read_that_carries_a_session_token_goes_to_a_host_that_has_replayed_it(
     #[case] offset_ms: i64,
     #[case] replica_is_fresh_enough: bool,
 ) {
@@ -18,8 +18,8 @@
     let discovery = DiscoveryService::new();
     let primary_entry = primary.entry("s-2", "there").with_access("writer");
     let known = EndpointList::snapshot(41, [replica.entry("s-1", "here"), primary_entry]);
-    let carried_positions = Edit { from: r#""writeMarks":"remembered""#, to: r#""writeMarks":"carried""# };
-    let pooler = Pooler::start(&known, &discovery, &[carried_positions]);
+    let carried_tokens = Edit { from: r#""writeMarks":"remembered""#, to: r#""writeMarks":"carried""# };
+    let pooler = Pooler::start(&known, &discovery, &[carried_tokens]);
     let mut client = connect_client(&pooler);
     client.send(&Request::new("0", "reports").message());
     let mut replica_connection = replica.accept();
@@ -36,7 +36,7 @@
     client.expect_result();
 }
 
-/// A damaged load report may also be wrong where it can be read, so the pooler takes nothing from it.
+/// If any part of a load report is invalid, the rest may be wrong too, so the pooler ignores all of it.
 #[test]
 fn only_a_valid_load_report_shows_that_a_replica_is_fresh_enough() {
     let host = DatabaseHost::new();
@@ -46,20 +46,20 @@
     let mut backend = host.accept();
     for rest in ["x1=0,queue=\u{fffd}", "x1=0x", "}{", "x1=0,queue=0,inflight=1"] {
         assert_eq!(backend.receive_query(), "SHOW usage");
-        // The position is relative to this report, since the four together can take longer than the staleness
+        // Each report has a current position, since all four together may take longer than the staleness
         // bound of the class.
         let position = unix_time().as_secs_f64() - 0.5;
         backend.send_result(format!("x0={position:.3},{rest}").as_bytes(), Role::Reader);
     }
-    // The read was queued until a replica was known to be fresh enough.
+    // The read stays queued until a replica is known to be fresh enough.
     backend.expect_request("1");
     backend.send_result(BINARY_VALUE, Role::Reader);
     client.expect_result();
     pooler.expect_counters(" unreadable_reports=3 ");
 }
 
-/// Where load reports do not name the role of a host, the pooler once sent health checks to find the primary,
-/// which they cannot do.
+/// Guards against searching for the primary by health checks if load reports do not contain the role of a
+/// host. A health check cannot find it then.
 #[rstest]
 #[case::no_load_reports(r#"{"how":"silent","fields":[]}"#)]
 #[case::load_reports_without_role(r#"{"how":"pull","fields":["inflight","util"]}"#)]
--- a/tests/loopback/shutdown_and_reload.rs
+++ b/tests/loopback/shutdown_and_reload.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown and reloading of the configuration.
+//! Graceful shutdown, and reloading of the configuration file.
 
 use std::io::Read;
 use std::time::{Duration, Instant};
@@ -28,7 +28,7 @@
     }
     idle.expect_result();
     new.expect_result();
-    // Clients without a query in flight are closed. The response still due is delivered.
+    // Connections without a query in flight are closed. The query in flight still gets its response.
     idle.expect_closed();
     new.expect_closed();
     busy_backend.send_result(BINARY_VALUE, Role::Reader);
@@ -38,8 +38,9 @@
     assert!(pooler.wait_for_log("shut down: ").contains("served=3"));
 }
 
-/// Clients keep sending on connections that stay open. A query pipelined before the pooler stops taking
-/// queries is served, a later one is rejected at once, and one that crosses the close gets no response.
+/// A client may keep sending while its connection stays open for a query in flight. A query that was
+/// pipelined before draining started is served, a later one is rejected immediately, and one sent after the
+/// close gets no response.
 #[test]
 fn a_busy_connection_accepts_no_queries_after_the_grace_period() {
     let host = DatabaseHost::new();
@@ -52,7 +53,7 @@
     backend.receive_query();
     pooler.signal(Signal::Terminate);
     idle.expect_closed_without_reset();
-    // This query crosses the close of its connection. It is not read, and there is no reset.
+    // This query is sent after the close of its connection. It is not read and causes no reset.
     idle.send(&request("3"));
     busy.send(&request("4").repeat(2));
     pooler.expect_counters("requests_received=1 ");
@@ -85,7 +86,7 @@
     client.send(&Request::new("1", "reports").message());
     let mut backend = old.accept();
     backend.receive_query();
-    // An invalid configuration file is ignored, and the pooler goes on.
+    // The pooler ignores an invalid configuration file.
     pooler.reload(&Edit { from: "{\"name\"", to: "{name" });
     pooler.wait_for_log("reload failed, keeping the configuration");
     pooler.reload(&Edit { from: "{name", to: "{\"name\"" });
@@ -95,8 +96,8 @@
     let old_address = old_discovery.address().to_string();
     let new_address = new_discovery.address().to_string();
     pooler.reload(&Edit { from: &old_address, to: &new_address });
-    // The indices of another service are unrelated, so the watch starts from 0. The old watch, which neither
-    // earlier reload has touched, ends.
+    // The list versions of another service are unrelated, so its watch starts from 0. The old watch is
+    // closed; neither earlier reload has affected it.
     let mut new_watch = new_discovery.accept();
     new_watch.expect_since(0);
     assert_eq!(old_watch.stream.read(&mut [0]).unwrap(), 0);
@@ -112,8 +113,8 @@
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
 
-/// The file of a configuration was once read only once for each signal: where that failed, the pooler stayed
-/// with a discovery service that had moved.
+/// Guards against reading the configuration file only once per signal: if that failed, the pooler kept the
+/// old address of a discovery service that had moved.
 #[test]
 fn a_reload_is_retried_while_the_file_cannot_be_read() {
     let host = DatabaseHost::new();
@@ -126,8 +127,8 @@
     pooler.expect_counters(" reloads=1 reload_failures=1");
 }
 
-/// The listener was once closed at the end of the grace period although clients at the limit of connections
-/// still waited to be accepted. Their connections were reset with the queries in them.
+/// Guards against closing the listener while connections wait in its accept queue because the connection
+/// limit is reached. They were reset, and the queries sent on them were lost.
 #[test]
 fn a_client_that_waits_to_be_accepted_during_the_shutdown_is_answered() {
     let host = DatabaseHost::new();
@@ -138,7 +139,7 @@
     waiting.send(&[startup_message(), Request::new("3", "reports").message()].concat());
     pooler.wait_for_log("all client connections are busy: new connections wait");
     pooler.signal(Signal::Terminate);
-    // Longer than the grace period, so that a reset would be seen.
+    // Wait for longer than the grace period, so that a reset would be noticed.
     waiting.stream.set_read_timeout(Some(Duration::from_secs(1))).unwrap();
     assert!(waiting.stream.read(&mut [0]).is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock));
     waiting.stream.set_read_timeout(None).unwrap();
@@ -153,11 +154,11 @@
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
 
-/// The process may be killed 3.7 s after it was asked to end, whatever the deadlines.
+/// Time from SIGTERM to the earliest kill, however long the deadlines are.
 const EARLIEST_KILL: Duration = Duration::from_millis(3700);
 
-/// A query that came during the shutdown behind another one once waited for that to end, which could take
-/// longer than the process had to live.
+/// Guards against leaving a query blocked behind an earlier one on its connection during the shutdown. The
+/// earlier one may take longer than the time until the kill.
 #[test]
 fn a_query_pipelined_behind_a_long_one_is_answered_before_the_earliest_kill() {
     let host = DatabaseHost::new();
@@ -180,16 +181,16 @@
     busy.expect_error("57P03");
     assert!(requested_at.elapsed() < EARLIEST_KILL);
     busy.expect_closed();
-    // Nothing waits behind the other query, which may still be served.
+    // The other query blocks nothing and may still be served.
     backends[1].send_result(BINARY_VALUE, Role::Reader);
     unblocked.expect_result();
     unblocked.expect_closed();
     assert_eq!(pooler.wait_for_exit().code(), Some(0));
 }
 
-/// Settings under which rejections do not say when to retry.
+/// Rejections without a Retry-After.
 const NO_RETRY_AFTER: Edit = Edit { from: r#""retryAfter":true"#, to: r#""retryAfter":false"# };
-/// Settings under which clients wait for no longer than 20 ms.
+/// Limits Retry-After to 20 ms.
 const SHORT_RETRY_AFTER: Edit = Edit { from: r#""maxRetryAfter":0.5"#, to: r#""maxRetryAfter":0.02"# };
 
 #[rstest]
--- a/tests/loopback/soak/attempts.rs
+++ b/tests/loopback/soak/attempts.rs
@@ -1,4 +1,4 @@
-//! What the database hosts of a run have received, and the rules on it.
+//! Records the attempts that the database hosts receive in a run, and checks them against the rules.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -6,26 +6,27 @@
 
 use super::Violations;
 
-/// How long two attempts may seem to overlap because threads of the test take turns.
+/// How long two consecutive attempts may appear to overlap, since the threads of the test may be scheduled
+/// late.
 const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(500);
-/// How much later than its client has left an attempt may begin. The rule says 0.1 s; the rest is for threads
-/// of the test that wait for their turn.
+/// How long after the disconnect of its client an attempt may start. The pooler is allowed 0.1 s; the rest
+/// compensates for threads of the test that are scheduled late.
 const LATE_START_TOLERANCE: Duration = Duration::from_millis(400);
 
-/// One query that a host has received.
+/// A query that a host has received.
 struct Attempt {
     host: String,
     started_at: Instant,
-    /// When it was answered or its connection ended.
+    /// When it was answered or its connection was closed.
     ended_at: Option<Instant>,
-    /// Whether it had no effect for certain.
+    /// Whether the host rejected it, so that it certainly had no effect.
     is_rejected: bool,
 }
 
-/// A client's view of its request.
+/// What a client has recorded about its request.
 struct ClientRecord {
     class: &'static str,
-    /// When the client closed its connection without waiting for the response.
+    /// When the client disconnected without waiting for the response.
     disconnected_at: Option<Instant>,
 }
 
@@ -35,12 +36,12 @@
     clients: HashMap<String, ClientRecord>,
 }
 
-/// All attempts of a run by request. Clones share the same records.
+/// All attempts of a run, by request. Clones share the same records.
 #[derive(Clone, Default)]
 pub struct AttemptLog(Arc<Mutex<Records>>);
 
 impl AttemptLog {
-    /// Records that a host has received a request. Returns the number of the attempt.
+    /// Records that a host has received an attempt of a request. Returns the number of the attempt.
     pub fn record_start(&self, id: &str, host: &str) -> usize {
         let attempt =
             Attempt { host: host.into(), started_at: Instant::now(), ended_at: None, is_rejected: false };
@@ -50,7 +51,7 @@
         attempts.len() - 1
     }
 
-    /// Records that an attempt is over.
+    /// Records that an attempt has ended and whether the host rejected it. The first recorded end counts.
     pub fn record_end(&self, id: &str, number: usize, is_rejected: bool) {
         let mut records = self.0.lock().unwrap();
         let attempt = &mut records.attempts.get_mut(id).unwrap()[number];
@@ -67,35 +68,39 @@
         records.clients.get_mut(id).unwrap().disconnected_at = Some(Instant::now());
     }
 
-    /// Checks the rules on attempts once no more can come.
+    /// Checks all attempts, once no further ones can be received.
     pub fn check(&self, violations: &Violations, hedging: bool) {
         let records = self.0.lock().unwrap();
         for (id, attempts) in &records.attempts {
             let Some(client) = records.clients.get(id) else {
-                violations.add(format!("{id}: no client has sent it"));
+                violations.add(format!("{id}: received by a host but sent by no client"));
                 continue;
             };
             let effective = attempts.iter().filter(|attempt| !attempt.is_rejected).count();
             if client.class == "once" && effective > 1 {
-                violations.add(format!("{id}: may have run {effective} times"));
+                violations.add(format!("{id}: may have been executed {effective} times"));
             }
             let allowed = if hedging { 2 } else { 1 };
             for attempt in attempts {
                 let overlapping = attempts.iter().filter(|other| overlaps(other, attempt)).count();
                 if overlapping > allowed {
-                    violations.add(format!("{id}: {overlapping} attempts in flight at {}", attempt.host));
+                    violations.add(format!(
+                        "{id}: {overlapping} attempts in flight when {} received one",
+                        attempt.host
+                    ));
                 }
                 let is_late =
                     |disconnected_at: Instant| attempt.started_at > disconnected_at + LATE_START_TOLERANCE;
                 if client.disconnected_at.is_some_and(is_late) {
-                    violations.add(format!("{id}: begun at {} after its client had left", attempt.host));
+                    violations
+                        .add(format!("{id}: received by {} after its client disconnected", attempt.host));
                 }
             }
         }
     }
 }
 
-/// Whether an attempt was still in flight well after another began.
+/// Returns whether `other` was still in flight well after `attempt` started. An attempt overlaps itself.
 fn overlaps(other: &Attempt, attempt: &Attempt) -> bool {
     let is_earlier = other.started_at <= attempt.started_at;
     is_earlier && other.ended_at.is_none_or(|ended_at| ended_at > attempt.started_at + SCHEDULING_TOLERANCE)
--- a/tests/loopback/soak/client.rs
+++ b/tests/loopback/soak/client.rs
@@ -1,4 +1,5 @@
-//! A client of a run: sends requests one after another or several at once, rests, and leaves at times.
+//! A client of a run: sends requests singly or pipelined, pauses, and occasionally disconnects before the
+//! response.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -11,31 +12,32 @@
 use super::{random_duration, PoolerProcess, Run};
 use crate::harness::*;
 
-/// A response that has not come by then never comes.
+/// How long a client waits for a response. Longer than any deadline.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// How late a response may be: half a second by the rules, and the rest for threads that wait for their turn.
+/// How long after its deadline a response may arrive. The pooler is allowed 0.5 s; the rest compensates for
+/// threads that are scheduled late.
 const LATENESS_TOLERANCE: Duration = Duration::from_millis(1500);
-/// A request that was sent so shortly before the end of its connection may not have been read.
+/// A request may be unread if its connection was closed within this time after it was sent.
 const UNREAD_WINDOW: Duration = Duration::from_millis(150);
 const RECONNECT_DELAY: Duration = Duration::from_millis(20);
-/// The longest pause between requests that are sent without waiting for responses.
+/// The longest pause between pipelined requests.
 const MAX_PAUSE: Duration = Duration::from_millis(800);
-/// Requests that are sent without waiting for responses.
+/// The number of requests that are pipelined.
 const PIPELINE_LENGTH: usize = 3;
-/// The SQLSTATEs of a rejection, after which a retry is harmless.
+/// The SQLSTATEs of rejections, after which a retry is safe.
 const REJECTIONS: [&str; 2] = ["53300", "57P03"];
 
-/// What a client has seen.
+/// The numbers of requests of a client, by how they ended. The output of the soak names these fields.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub served: u64,
     rejected: u64,
     failed: u64,
-    /// Left without waiting for the response.
+    /// The client disconnected before the response.
     left: u64,
-    /// Sent again, since the connection ended when the request was sent.
+    /// Sent again, since the connection was closed as the request was sent.
     crossed: u64,
-    /// Lost by a kill that need not find it answered.
+    /// Lost in a kill before which no response was required.
     killed: u64,
 }
 
@@ -52,11 +54,11 @@
     }
 }
 
-/// A request that was sent.
+/// A request that a client sends.
 struct SentRequest {
     id: String,
     message: Vec<u8>,
-    /// When it was last sent.
+    /// When it was last sent. `None` if it was not sent yet.
     sent_at: Mutex<Option<Instant>>,
     deadline: Duration,
 }
@@ -72,19 +74,19 @@
     Served,
     Rejected,
     Failed,
-    /// The value is another request's.
+    /// The response is that of another request, or contains neither a value nor an error.
     WrongValue,
-    /// The connection ended without a response.
+    /// The connection was closed without a response.
     ConnectionClosed,
-    /// Nothing came.
+    /// No response arrived within [`RESPONSE_TIMEOUT`].
     TimedOut,
 }
 
-/// A connection, and the process that it leads to.
+/// A connection to a pooler process.
 struct PoolerConnection {
     stream: TcpStream,
     process: Arc<PoolerProcess>,
-    /// Whether a response has come over it.
+    /// Whether a response was received on it.
     is_used: bool,
 }
 
@@ -97,7 +99,7 @@
     connection: Option<PoolerConnection>,
 }
 
-/// A client that runs.
+/// A client that runs in a thread of its own.
 pub struct ClientThread(JoinHandle<Counts>);
 
 impl ClientThread {
@@ -136,7 +138,7 @@
         self.counts
     }
 
-    /// Sends so many requests, with pauses between them, and waits for their responses.
+    /// Sends `count` requests with pauses between them, and receives their responses.
     fn request(&mut self, connection: PoolerConnection, count: usize, pause: Duration) {
         let sent: Vec<SentRequest> = (0..count).map(|_| self.next_request()).collect();
         self.send_and_receive(connection, &sent, pause, false);
@@ -157,7 +159,8 @@
         SentRequest { id, message, sent_at: Mutex::new(None), deadline: Duration::from_millis(deadline_ms) }
     }
 
-    /// Sends requests and reads their responses meanwhile.
+    /// Sends requests while it receives their responses. Requests that are unread when the connection is
+    /// closed are sent again, once.
     fn send_and_receive(
         &mut self,
         mut connection: PoolerConnection,
@@ -170,7 +173,7 @@
             let writing = scope.spawn(|| write_requests(writer, sent, pause));
             let answered = self.read_responses(&mut connection, sent);
             let closed_at = Instant::now();
-            // On a busy machine, this thread may notice the end long after the one that writes.
+            // On a busy machine, this thread may notice the close long after the writing one.
             let close_seen_at = writing.join().unwrap();
             (answered, close_seen_at.map_or(closed_at, |seen_at| seen_at.min(closed_at)))
         });
@@ -184,13 +187,15 @@
         if !may_be_resent {
             unanswered.iter().for_each(|request| self.check_unanswered(&connection, request, closed_at));
         } else if is_resent && !connection.process.is_shutting_down() && !self.run.has_silent_clients {
-            self.run.violations.add(format!("{}: two connections ended unread", unanswered[0].id));
+            self.run
+                .violations
+                .add(format!("{}: two connections were closed without reading it", unanswered[0].id));
         } else {
             self.resend(unanswered);
         }
     }
 
-    /// Reads responses until one does not come. Returns how many came.
+    /// Receives responses up to the first that does not arrive. Returns how many have arrived.
     fn read_responses(&mut self, connection: &mut PoolerConnection, sent: &[SentRequest]) -> usize {
         let mut last_response_at = Instant::now();
         for (position, request) in sent.iter().enumerate() {
@@ -199,28 +204,31 @@
                 Response::Rejected => self.counts.rejected += 1,
                 Response::Failed => self.counts.failed += 1,
                 Response::WrongValue => {
-                    self.run.violations.add(format!("{}: another request's value", request.id));
+                    self.run.violations.add(format!("{}: the response does not hold its value", request.id));
                 }
                 Response::ConnectionClosed => return position,
                 Response::TimedOut => {
-                    self.run.violations.add(format!("{}: no response in {RESPONSE_TIMEOUT:?}", request.id));
+                    self.run
+                        .violations
+                        .add(format!("{}: no response within {RESPONSE_TIMEOUT:?}", request.id));
                     return position;
                 }
             }
-            // The time that a request waits for the responses ahead of it does not count.
+            // The time that a request waits for earlier responses on its connection does not count.
             let sent_at = request.sent_at().unwrap_or(last_response_at);
             let due_at = (sent_at + request.deadline).max(last_response_at);
             last_response_at = Instant::now();
             let lateness = last_response_at.saturating_duration_since(due_at);
             if lateness > LATENESS_TOLERANCE && !connection.process.is_killed() {
-                self.run.violations.add(format!("{}: answered {lateness:?} late", request.id));
+                self.run.violations.add(format!("{}: answered {lateness:?} after its deadline", request.id));
             }
         }
         sent.len()
     }
 
-    /// Whether the end of a connection has crossed a request: it was not sent, or just when the connection
-    /// ended, and not by a kill.
+    /// Returns whether the pooler may have closed the connection before it read a request. That is so if the
+    /// request was not sent, or was sent just before the close, which was not caused by a kill. With silent
+    /// clients, the pooler may also close a connection that was never used.
     fn may_be_unread(
         &self,
         connection: &PoolerConnection,
@@ -233,7 +241,7 @@
             && (may_be_closed_unread || closed_at < sent_at + UNREAD_WINDOW)
     }
 
-    /// Sends requests once more, over a new connection.
+    /// Sends requests again, on a new connection.
     fn resend(&mut self, sent: &[SentRequest]) {
         self.counts.crossed += sent.len() as u64;
         if let Ok(connection) = connect(self.run.current()) {
@@ -241,7 +249,7 @@
         }
     }
 
-    /// Judges a request whose connection has ended without a response.
+    /// Checks whether a request may have been left without a response when its connection was closed.
     fn check_unanswered(&mut self, connection: &PoolerConnection, request: &SentRequest, closed_at: Instant) {
         let Some(sent_at) = request.sent_at() else { return };
         let is_killed = connection.process.was_killed_before(closed_at);
@@ -251,11 +259,13 @@
             self.counts.killed += 1;
         } else {
             let age = closed_at.saturating_duration_since(sent_at);
-            self.run.violations.add(format!("{}: its connection ended after {age:?}", request.id));
+            self.run
+                .violations
+                .add(format!("{}: its connection was closed without a response after {age:?}", request.id));
         }
     }
 
-    /// Sends a request and closes the connection a little later.
+    /// Sends a request and disconnects up to 100 ms later.
     fn send_and_disconnect(&mut self, mut connection: PoolerConnection) {
         let sent = self.next_request();
         let _ = connection.stream.write_all(&sent.message);
@@ -266,8 +276,8 @@
     }
 }
 
-/// Sends requests with pauses between them, up to the first that fails. Returns when it first found that the
-/// connection had ended before it sent one.
+/// Sends requests with pauses between them, up to the first that fails. Returns when it first noticed, before
+/// sending one, that the connection was closed.
 fn write_requests(mut stream: TcpStream, sent: &[SentRequest], pause: Duration) -> Option<Instant> {
     let mut close_seen_at = None;
     for (position, request) in sent.iter().enumerate() {
@@ -285,7 +295,8 @@
     close_seen_at
 }
 
-/// Whether the end of the connection has arrived, also behind unread responses. Does not wait.
+/// Returns whether the peer has closed the connection, even if responses before the close are unread. Does
+/// not block.
 fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut poll = Poll::new().unwrap();
     let mut events = Events::with_capacity(1);
@@ -305,7 +316,7 @@
     Ok(PoolerConnection { stream, process, is_used: false })
 }
 
-/// Reads messages up to ReadyForQuery.
+/// Receives the response to a request, up to ReadyForQuery.
 fn receive(connection: &mut PoolerConnection, id: &str) -> Response {
     let mut response = None;
     loop {
--- a/tests/loopback/soak/discovery.rs
+++ b/tests/loopback/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service that tells of drains and moves to another address.
+//! A discovery service that drains hosts and moves between two addresses.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -6,10 +6,10 @@
 
 use crate::harness::*;
 
-/// A service that has moved ends its connections after this time.
+/// How long after a move the service keeps the watches at its old address open.
 const OLD_ADDRESS_GRACE: Duration = Duration::from_millis(1500);
-/// Latest time after a change at which queries to a draining host stop: 6 s until the change counts as told,
-/// and 2 s of grace.
+/// Time after the start of a drain within which queries to the host must stop: 6 s, after which the pooler
+/// counts as informed, and 2 s of tolerance.
 const DRAIN_LIMIT: Duration = Duration::from_secs(8);
 
 /// A database host in the list. Clones share its status.
@@ -19,7 +19,7 @@
     pub role: Role,
     zone: &'static str,
     address: SocketAddr,
-    /// Since when it drains, if it does.
+    /// When it started to drain. `None` if it is not draining.
     draining_since: Arc<Mutex<Option<Instant>>>,
     late_queries: Arc<Mutex<Vec<String>>>,
 }
@@ -29,15 +29,16 @@
         ListedHost { name, role, zone, address, draining_since: Arc::default(), late_queries: Arc::default() }
     }
 
-    /// Records a query that came too late to a host that drains.
+    /// Records the query `id` if it was sent to a host that has been draining for longer than
+    /// [`DRAIN_LIMIT`].
     pub fn check_drain(&self, id: &str) {
         let draining_since = *self.draining_since.lock().unwrap();
         if draining_since.is_some_and(|since| since.elapsed() > DRAIN_LIMIT) {
-            self.late_queries.lock().unwrap().push(format!("{id}: sent to {}, which drains", self.name));
+            self.late_queries.lock().unwrap().push(format!("{id}: sent to {}, which is draining", self.name));
         }
     }
 
-    /// Takes the queries that came too late.
+    /// Takes the recorded queries to draining hosts.
     pub fn take_late_queries(&self) -> Vec<String> {
         std::mem::take(&mut self.late_queries.lock().unwrap())
     }
@@ -58,13 +59,13 @@
     }
 }
 
-/// The list and who watches it.
+/// The endpoint list and its watches.
 struct State {
     hosts: Vec<ListedHost>,
     index: u64,
-    /// Which of the two services is in use.
+    /// The number of the service that is in use, 0 or 1.
     active: usize,
-    /// Open watches, with the number of their service.
+    /// The open watches, each with the number of its service.
     watches: Vec<(usize, Watch)>,
 }
 
@@ -74,7 +75,7 @@
     }
 }
 
-/// The service at one of two addresses.
+/// A discovery service that is available at one of two addresses at a time.
 pub struct SoakDiscovery {
     services: [Arc<DiscoveryService>; 2],
     state: Arc<Mutex<State>>,
@@ -91,7 +92,7 @@
         SoakDiscovery { services, state }
     }
 
-    /// Starts a pooler that knows the present list and calls the present address.
+    /// Starts a pooler with the current endpoint list and the current address of the service.
     pub fn start_pooler(&self, edits: &[Edit]) -> Pooler {
         let (list, active) = {
             let state = self.state.lock().unwrap();
@@ -100,7 +101,7 @@
         Pooler::start(&list, &self.services[active], edits)
     }
 
-    /// Has a host drain, or serve again, and tells those who watch.
+    /// Starts or ends the drain of a host, and sends the list to all watches.
     pub fn toggle_drain(&self, name: &str) {
         let mut state = self.state.lock().unwrap();
         let host = state.hosts.iter().find(|host| host.name == name).unwrap();
@@ -115,7 +116,7 @@
         });
     }
 
-    /// Moves to the other address and tells the pooler by its configuration.
+    /// Moves the service to the other address, and reloads the pooler's configuration with that address.
     pub fn switch_address_and_reload(&self, pooler: &Pooler) {
         let old = {
             let mut state = self.state.lock().unwrap();
@@ -135,7 +136,8 @@
     }
 }
 
-/// Answers each call with the whole list. A service that has moved takes no call.
+/// Answers each watch with the complete list, as long as the service is in use at this address. Otherwise
+/// closes it.
 fn accept_watches(number: usize, service: &DiscoveryService, state: &Mutex<State>) {
     while let Some(mut watch) = service.next_watch() {
         let mut state = state.lock().unwrap();
--- a/tests/loopback/soak/host.rs
+++ b/tests/loopback/soak/host.rs
@@ -1,4 +1,4 @@
-//! A database host that answers, and misbehaves when it is told to.
+//! A database host that answers queries, with faults that a test can inject.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::{Arc, Mutex};
@@ -9,18 +9,18 @@
 use super::random_duration;
 use crate::harness::*;
 
-/// The class of writes, which only the primary takes.
+/// The classes whose requests only the primary accepts, as in the comment of a query.
 const WRITE_CLASSES: [&str; 2] = ["c=once,", "c=order-write,"];
 const NOT_THE_PRIMARY: &str = "25006";
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// The longest time that a host works on a report and on any other query.
+/// The longest service times of reports and of all other queries.
 const MAX_REPORT_TIME: Duration = Duration::from_millis(2500);
 const MAX_QUERY_TIME: Duration = Duration::from_millis(60);
-/// How often a host that hangs looks whether the pooler has closed the connection.
+/// Interval at which a waiting host checks whether the pooler has closed the connection.
 const HANG_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How the host behaves.
+/// The faults of a host.
 #[derive(Default)]
 struct Faults {
     hang_until: Option<Instant>,
@@ -29,13 +29,13 @@
     startup_delay: Duration,
 }
 
-/// A running host.
+/// A running database host.
 pub struct SoakHost {
     listed: ListedHost,
     faults: Arc<Mutex<Faults>>,
 }
 
-/// What happens to a query.
+/// How a host ends a query.
 enum QueryOutcome {
     Answer,
     Reject(&'static str),
@@ -43,7 +43,7 @@
 }
 
 impl SoakHost {
-    /// Starts a host whose times follow from the seed.
+    /// Starts a host whose service times are determined by the seed.
     pub fn start(
         name: &'static str,
         zone: &'static str,
@@ -86,7 +86,7 @@
         self.faults.lock().unwrap().startup_delay = time;
     }
 
-    /// Ends all misbehaviour.
+    /// Ends all faults.
     pub fn recover(&self) {
         *self.faults.lock().unwrap() = Faults::default();
     }
@@ -115,7 +115,8 @@
         }
         let outcome = outcome(&sql, host.role, faults);
         let is_rejected = matches!(outcome, QueryOutcome::Reject(_));
-        // Recorded before the answer, which the pooler may act on at once.
+        // Recorded before the response is sent, since the pooler may start the next attempt immediately
+        // after.
         attempts.record_end(&id, number, is_rejected);
         match outcome {
             QueryOutcome::Answer => {
@@ -142,13 +143,13 @@
     connection.stream.write_all(&startup_response())
 }
 
-/// How long the host works on a query.
+/// Returns a random service time for a query.
 fn service_time(sql: &str, random: &mut fastrand::Rng) -> Duration {
     let max = if sql.contains("c=reports,") { MAX_REPORT_TIME } else { MAX_QUERY_TIME };
     random_duration(random, max)
 }
 
-/// Waits until that time, and until the host hangs no more. Returns whether the pooler has kept the
+/// Waits until `served_at`, and until the host no longer hangs. Returns whether the pooler has kept the
 /// connection open until then.
 fn wait_while_open(served_at: Instant, connection: &Connection, faults: &Mutex<Faults>) -> bool {
     let hang_until = || faults.lock().unwrap().hang_until.unwrap_or(served_at);
@@ -183,7 +184,7 @@
     QueryOutcome::Answer
 }
 
-/// The value after a name in the comment of a statement.
+/// Returns the value that follows a name in the comment of a query.
 fn field(sql: &str, name: &str) -> String {
     let value = sql.split_once(name).map_or("", |(_, rest)| rest);
     value.split(',').next().unwrap().to_string()
--- a/tests/loopback/soak/mod.rs
+++ b/tests/loopback/soak/mod.rs
@@ -1,7 +1,7 @@
-//! A soak of the program under faults: clients that keep using open connections, database hosts and a
-//! discovery service that misbehave, signals in series, and the kill at the earliest moment.
+//! A soak test of the program under faults: clients that keep using open connections, faulty database hosts,
+//! a discovery service that moves, repeated signals, and kills at the earliest permitted time.
 //!
-//! A few seeds run with the other tests. More are run by hand, such as the 50 seeds from 100 on:
+//! A few seeds run with the other tests. More seeds are run manually, for example the 50 seeds from 100:
 //! `PG_POOLER_SOAK_SEEDS=100..150 cargo test --release --test loopback soak -- --nocapture --test-threads 3`
 
 mod attempts;
@@ -23,27 +23,28 @@
 use host::SoakHost;
 use violations::Violations;
 
-/// The variable that names the seeds of a soak by hand, as `first..end`.
+/// The environment variable with the seeds of a manual run, as `first..end`.
 const SEEDS_VARIABLE: &str = "PG_POOLER_SOAK_SEEDS";
-/// Processes that follow one another in one run.
+/// How often the pooler process is replaced in a run.
 const RESTARTS: usize = 2;
 const CLIENTS: usize = 24;
-/// Clients that connect and never send a query, in runs with a crowd.
+/// The number of clients that connect and never send a message, in runs with silent clients.
 const SILENT_CLIENTS: usize = 60;
-/// New connections go to the next process from this time after SIGTERM on.
+/// Time after SIGTERM until new connections are opened to the next process.
 const HANDOVER_DELAY: Duration = Duration::from_millis(400);
-/// The process is killed this long after SIGTERM and the longest deadline.
+/// Time from the longest counted deadline after SIGTERM to the kill.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// A request that is sent later than this after SIGTERM must be answered before the kill.
+/// Time after SIGTERM within which a sent request may be left unanswered by the kill. Later requests must be
+/// answered before it.
 const EXCUSED_WINDOW: Duration = Duration::from_millis(700);
-/// Longer than a process has from SIGTERM to SIGKILL.
+/// How long hosts hang during a shutdown: longer than the time from SIGTERM to SIGKILL.
 const SHUTDOWN_HANG: Duration = Duration::from_secs(6);
 /// The longest deadline in [`SETTINGS`].
 const LONGEST_DEADLINE: Duration = Duration::from_secs(4);
-/// The longest deadline that delays the kill.
+/// The part of the longest deadline for which the kill waits at most.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Settings with short deadlines, a class that must not run twice and a window for repeats of half a second.
+/// Settings with short deadlines, a non-idempotent class and a deduplication window of half a second.
 const SETTINGS: [Edit; 7] = [
     Edit { from: r#""aim":8,"deadline":9"#, to: r#""aim":0.5,"deadline":1"# },
     Edit {
@@ -63,10 +64,10 @@
     Edit { from: r#"["bounded","session","any","write"]"#, to: r#"["bounded","write","any","write"]"# },
 ];
 const HEDGING: Edit = Edit { from: r#""probes":false"#, to: r#""probes":false,"mayDuplicate":true"# };
-/// Leaves places for 24 clients, fewer than there are with the crowd.
+/// Limits the pooler to 24 client connections, fewer than there are clients in runs with silent clients.
 const FEW_DESCRIPTORS: Edit = Edit { from: r#""sockets":1024"#, to: r#""sockets":64"# };
 
-/// One process of the program, as its clients know it.
+/// A pooler process, as its clients know it.
 pub struct PoolerProcess {
     pub address: SocketAddr,
     /// When it was first sent SIGTERM.
@@ -80,14 +81,14 @@
         PoolerProcess { address: pooler.address, shutdown_requested_at, killed_at }
     }
 
-    /// Whether a request that was sent then may be left unanswered by the kill.
+    /// Returns whether the kill may leave a request unanswered that was sent at `sent_at`.
     pub fn may_leave_unanswered(&self, sent_at: Instant) -> bool {
         let shutdown_requested_at = *self.shutdown_requested_at.lock().unwrap();
         shutdown_requested_at
             .is_some_and(|shutdown_requested_at| sent_at < shutdown_requested_at + EXCUSED_WINDOW)
     }
 
-    /// Whether the process had been asked to end by then.
+    /// Returns whether the process was sent SIGTERM.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_requested_at.lock().unwrap().is_some()
     }
@@ -96,14 +97,14 @@
         self.killed_at.lock().unwrap().is_some()
     }
 
-    /// Whether the kill is what ended a connection then.
+    /// Returns whether the process was killed before a connection was closed at `closed_at`.
     pub fn was_killed_before(&self, closed_at: Instant) -> bool {
         let killed_at = *self.killed_at.lock().unwrap();
         killed_at.is_some_and(|killed_at| closed_at >= killed_at)
     }
 }
 
-/// What all threads of a run share.
+/// The state that all threads of a run share.
 pub struct Run {
     pub current: Mutex<Arc<PoolerProcess>>,
     pub violations: Violations,
@@ -126,7 +127,8 @@
     max.mul_f64(random.f64())
 }
 
-/// Plays one seed. Returns what the clients have seen.
+/// Runs the soak with one seed, and asserts that no rule was violated. Returns the sums of the clients'
+/// counts.
 fn run_seed(seed: u64) -> Counts {
     let mut random = fastrand::Rng::with_seed(seed);
     let (has_silent_clients, has_hedging) = (seed % 3 == 2, random.bool());
@@ -172,7 +174,7 @@
     counts
 }
 
-/// Lets hosts and discovery misbehave for about two seconds, one trouble inside another, with some reloads.
+/// Injects overlapping faults of hosts and discovery for about two seconds, with some reloads.
 fn inject_faults(pooler: &Pooler, hosts: &[SoakHost], discovery: &SoakDiscovery, random: &mut fastrand::Rng) {
     for _ in 0..8 {
         let host = &hosts[random.usize(..hosts.len())];
@@ -181,7 +183,7 @@
             1 => host.reset_queries(random.u32(1..5)),
             2 => host.reject_queries(random.u32(1..10)),
             3 => host.delay_startups(random_duration(random, Duration::from_millis(300))),
-            // The primary stays: the rule on drains is played on replicas.
+            // The primary is never drained: the rule on drains is checked on replicas.
             4 => discovery.toggle_drain(hosts[random.usize(1..hosts.len())].listed().name),
             _ => discovery.switch_address_and_reload(pooler),
         }
@@ -190,8 +192,8 @@
     hosts.iter().for_each(SoakHost::recover);
 }
 
-/// Ends a process by SIGTERM, with more signals behind, and by SIGKILL at the earliest moment. Returns the
-/// next one, which takes its place meanwhile.
+/// Ends a process by SIGTERM, followed by further signals, and by SIGKILL at the earliest permitted time.
+/// Starts and returns the next process, to which clients connect from [`HANDOVER_DELAY`] on.
 fn restart(pooler: Pooler, run: &Run, start: impl Fn() -> Pooler, random: &mut fastrand::Rng) -> Pooler {
     let process = run.current();
     let shutdown_requested_at = Instant::now();
@@ -221,7 +223,7 @@
 #[test]
 fn more_seeds_by_hand() {
     let Ok(range) = std::env::var(SEEDS_VARIABLE) else { return };
-    let (first, end) = range.split_once("..").expect("a range such as 100..150");
+    let (first, end) = range.split_once("..").expect("the seeds must be a range such as 100..150");
     for seed in first.parse().unwrap()..end.parse().unwrap() {
         println!("seed {seed}: {:?}", run_seed(seed));
     }
--- a/tests/loopback/soak/violations.rs
+++ b/tests/loopback/soak/violations.rs
@@ -1,11 +1,11 @@
-//! What a run has found.
+//! The rule violations that a run has detected.
 
 use std::sync::Mutex;
 
-/// Most violations that are kept: the first ones tell the cause.
+/// The number of violations that are kept. The first ones are sufficient to find the cause.
 const MAX_VIOLATIONS: usize = 20;
 
-/// Broken rules, each in one line.
+/// Descriptions of the violations, one line each.
 #[derive(Default)]
 pub struct Violations(Mutex<Vec<String>>);
 
