--- a/tests/loopback/cancellation.rs
+++ b/tests/loopback/cancellation.rs
@@ -83,7 +83,7 @@
 
 /// Guards against handling the readiness of a backend connection before the disconnect of the client whose
 /// query is to be sent on it, if one poll returns both events. The pooler is suspended while it polls:
-/// elsewhere it could complete its current step before it can notice the disconnect.
+/// elsewhere it could complete its current step before it notices the disconnect.
 #[cfg(target_os = "linux")]
 #[test]
 fn a_query_is_not_sent_if_its_client_has_disconnected_while_the_pooler_was_stopped() {
--- a/tests/loopback/soak/client.rs
+++ b/tests/loopback/soak/client.rs
@@ -159,8 +159,9 @@
         SentRequest { id, message, sent_at: Mutex::new(None), deadline: Duration::from_millis(deadline_ms) }
     }
 
-    /// Sends requests while it receives their responses. Requests that are unread when the connection is
-    /// closed are sent again, once.
+    /// Sends requests while it receives their responses. Requests that may be unread when the connection is
+    /// closed are sent again. They must not be left unread twice, unless the process is shutting down or
+    /// there are silent clients.
     fn send_and_receive(
         &mut self,
         mut connection: PoolerConnection,
