--- a/tests/loopback/hedging.rs
+++ b/tests/loopback/hedging.rs
@@ -1,16 +1,16 @@
-//! Hedged requests: a second attempt of a request at another host while the first is in flight.
+//! Hedged requests: a second attempt on another host while the first is still in flight.
 
 use crate::harness::*;
 
-/// Allows hedged requests. An attempt is overdue after 1.2 s; until then its connection may take that long to
-/// come up.
+/// Allows hedged requests. An attempt is overdue after 1.2 s; the connect timeout is longer, so that an
+/// attempt whose connection is not yet established does not fail before that.
 const HEDGING: [Edit; 3] = [
     Edit { from: r#""probes":false"#, to: r#""probes":false,"mayDuplicate":true"# },
     Edit { from: r#""aim":8"#, to: r#""aim":2"# },
     Edit { from: r#""connectTimeout":1"#, to: r#""connectTimeout":5"# },
 ];
 
-/// A read whose first attempt waits for the startup of its connection, while the second was sent.
+/// A read whose first attempt waits for the startup of its connection and whose second attempt is sent.
 struct HedgedRead {
     pooler: Pooler,
     _discovery: DiscoveryService,
@@ -35,24 +35,24 @@
     }
 }
 
-/// Only the latest attempt of a request was known by its connection. The first one was sent once its
-/// connection came up, after the client had its answer.
+/// Guards against recording only the connection of the latest attempt. The first attempt was then sent as
+/// soon as its connection was established, although the client already had its answer.
 #[test]
-fn an_attempt_that_is_not_sent_yet_is_withdrawn_once_its_request_is_answered() {
+fn an_unsent_attempt_is_cancelled_once_its_request_is_answered() {
     let mut read = HedgedRead::start();
     read.second.send_result(BINARY_VALUE, Role::Reader);
     read.client.expect_result();
-    read.pooler.wait_until_caught_up();
+    read.pooler.wait_until_events_handled();
     read.first.complete_startup();
-    read.first.expect_end_without_query();
+    read.first.expect_closed_without_query();
 }
 
 #[test]
-fn all_attempts_of_a_client_that_disconnects_are_abandoned() {
+fn all_attempts_of_a_client_that_disconnects_are_cancelled() {
     let mut read = HedgedRead::start();
     drop(read.client);
-    read.second.expect_end();
+    read.second.expect_closed();
     read.first.complete_startup();
-    read.first.expect_end_without_query();
+    read.first.expect_closed_without_query();
     read.pooler.expect_counters(" cancelled=2 ");
 }
--- a/tests/loopback/malformed_responses.rs
+++ b/tests/loopback/malformed_responses.rs
@@ -1,28 +1,29 @@
-//! Malformed responses and unsolicited messages of database hosts.
+//! Malformed responses of database hosts, and unsolicited messages from them.
 
 use rstest::rstest;
 
 use crate::harness::*;
 
-/// A DataRow that announces a value of three gigabytes, without the value.
+/// The start of a DataRow whose length fields announce a value of three gigabytes.
 const THREE_GIGABYTE_ROW: &[u8] = b"D\xb2\xd0\x5e\0\0\x01\xb2\xd0\x5d\xf6";
 
 fn oversized_row() -> Vec<u8> {
     [&row_description(), THREE_GIGABYTE_ROW].concat()
 }
 
-/// A result set from its DataRow on.
+/// A result set without its RowDescription.
 fn row_without_description() -> Vec<u8> {
     result_set(BINARY_VALUE)[row_description().len()..].to_vec()
 }
 
-/// Every byte 3 becomes 2, among them the length of the value.
+/// A result set in which every byte 3 is replaced by 2, so that the length of the value is one less than the
+/// DataRow holds.
 fn value_shorter_than_its_row() -> Vec<u8> {
     result_set(BINARY_VALUE).into_iter().map(|byte| if byte == 3 { 2 } else { byte }).collect()
 }
 
 #[rstest]
-#[case::noise(b"\x9f\x03\x00\xfe\xc1".to_vec())]
+#[case::invalid_bytes(b"\x9f\x03\x00\xfe\xc1".to_vec())]
 #[case::http_status_line(b"HTTP/1.1 500 odd\r\n".to_vec())]
 #[case::oversized_row(oversized_row())]
 #[case::value_shorter_than_its_row(value_shorter_than_its_row())]
@@ -38,8 +39,9 @@
     let mut malformed = near.accept();
     malformed.receive_query();
     malformed.send(&response);
-    // The connection is closed, and the read is retried on the other host well within its deadline of 8.5 s.
-    malformed.expect_end();
+    // The pooler closes the connection and retries the read on the other host. It does so on its own, long
+    // before the deadline of 8.5 s.
+    malformed.expect_closed();
     let mut backend = far.accept();
     backend.expect_request("1");
     backend.send_result(BINARY_VALUE, Role::Reader);
@@ -51,10 +53,10 @@
 
 #[rstest]
 #[case::second_response(&result_response(b"stray", Role::Reader))]
-#[case::noise(b"\x9f\x03\x00\xfe\xc1")]
+#[case::invalid_bytes(b"\x9f\x03\x00\xfe\xc1")]
 fn unsolicited_bytes_after_a_response_do_not_reach_the_next_request(
     #[case] unsolicited: &[u8],
-    #[values(false, true)] after_the_response_was_read: bool,
+    #[values(false, true)] sent_after_response_was_read: bool,
 ) {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
@@ -63,7 +65,7 @@
     let mut backend = host.accept();
     backend.receive_query();
     let response = result_response(BINARY_VALUE, Role::Reader);
-    if after_the_response_was_read {
+    if sent_after_response_was_read {
         backend.send(&response);
         client.expect_value(BINARY_VALUE);
         backend.send(unsolicited);
@@ -71,7 +73,7 @@
         backend.send(&[&response, unsolicited].concat());
         client.expect_value(BINARY_VALUE);
     }
-    backend.expect_end();
+    backend.expect_closed();
     complete_read(&host, &mut client);
     pooler.expect_counters(" malformed_answers=0 unsolicited_messages=1 ");
 }
--- a/tests/loopback/soak/violations.rs
+++ b/tests/loopback/soak/violations.rs
@@ -1,19 +1,19 @@
-//! What a run has found.
+//! The rule violations that a run has detected.
 
 use std::sync::Mutex;
 
-/// Most violations that are kept: the first ones tell the cause.
-const MAX_KEPT: usize = 20;
+/// The number of violations that are kept. The first ones are sufficient to find the cause.
+const MAX_VIOLATIONS: usize = 20;
 
-/// Broken rules, each in one line.
+/// Descriptions of the violations, one line each.
 #[derive(Default)]
 pub struct Violations(Mutex<Vec<String>>);
 
 impl Violations {
     pub fn add(&self, violation: String) {
-        let mut kept = self.0.lock().unwrap();
-        if kept.len() < MAX_KEPT {
-            kept.push(violation);
+        let mut violations = self.0.lock().unwrap();
+        if violations.len() < MAX_VIOLATIONS {
+            violations.push(violation);
         }
     }
 
