--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -133,7 +133,7 @@
 fn admits_unconditionally(to: EndpointKey, predicted: Span, cluster: &Cluster) -> bool {
     let load = cluster.endpoint(to).load();
     let pooler_share = UNCONDITIONAL_IN_FLIGHT / f64::from(cluster.settings().pooler_count);
-    let is_within_share = f64::from(load.total(cluster.now()) + 1) <= pooler_share;
+    let is_within_share = f64::from(load.in_flight_and_abandoned(cluster.now()) + 1) <= pooler_share;
     is_within_share
         || load.last_sent_at().is_none_or(|sent_at| cluster.now() - sent_at > predicted / pooler_share)
 }
--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -66,7 +66,7 @@
     /// Records the log position in the response of a primary, which was the present time when the primary
     /// responded. A position that contradicts the known bounds, or the pooler's clock while there are none,
     /// is used only once a second one confirms it.
-    pub(crate) fn observe_present_time(
+    pub(crate) fn observe_current_time(
         &mut self,
         time: ClusterInstant,
         sent_at: LocalInstant,
--- a/src/policy/cluster/clock/tests.rs
+++ b/src/policy/cluster/clock/tests.rs
@@ -10,7 +10,7 @@
 
 /// Records the response of a primary, whose clock is ahead by `offset`, to a request sent at `sent_at`.
 fn observe_primary_response(clock: &mut ClusterClock, offset: f64, sent_at: f64) {
-    clock.observe_present_time(
+    clock.observe_current_time(
         cluster_at(sent_at + ROUND_TRIP / 2.0 + offset),
         at(sent_at),
         at(sent_at + ROUND_TRIP),
--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -133,7 +133,7 @@
         let Some(group) = self.groups.get_mut(&group) else { return };
         let (slots, free_slots, by_id) = (&self.slots, &mut self.free_slots, &mut self.by_id);
         group.retain_members(|&endpoint| {
-            let is_purged = slots[endpoint].is_removed_since(horizon);
+            let is_purged = slots[endpoint].may_be_purged(horizon);
             if is_purged {
                 by_id.remove(slots[endpoint].id());
                 free_slots.push(endpoint);
--- a/src/policy/cluster/group.rs
+++ b/src/policy/cluster/group.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records that a request for the group was received.
-    pub(crate) fn request_received(&mut self, now: LocalInstant) {
+    pub(crate) fn record_request(&mut self, now: LocalInstant) {
         self.last_request_at = now;
     }
 
@@ -89,9 +89,9 @@
     }
 
     /// Removes a write from the queue that is sent in order to find the primary.
-    pub(crate) fn start_discovery(&mut self, write: RequestKey) {
+    pub(crate) fn dequeue_search_write(&mut self, write: RequestKey) {
         self.queue.retain(|queued| *queued != write);
-        self.search.start_discovery(write);
+        self.search.record_write(write);
     }
 
     /// Whether the group has neither endpoints nor queued requests.
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -52,7 +52,7 @@
 
     /// Updates an endpoint and the endpoints' clock from a response. `sent_at` is when the attempt was sent,
     /// if this is known.
-    pub(crate) fn observe_response(
+    pub(crate) fn update_from_response(
         &mut self,
         endpoint: EndpointKey,
         result: &AttemptResult,
@@ -60,20 +60,20 @@
     ) {
         if let Some(position) = result.log_position {
             match sent_at.filter(|_| result.role == Some(Role::Primary)) {
-                Some(sent_at) => self.clock.observe_present_time(position, sent_at, self.now),
+                Some(sent_at) => self.clock.observe_current_time(position, sent_at, self.now),
                 None => self.clock.observe_past_time(position, self.now),
             }
         }
         let report = LoadReport { log_position: result.log_position, role: result.role };
-        self.endpoints[endpoint].observe_report(&report, ReportAge::Current, &self.clock, self.now);
+        self.endpoints[endpoint].update_from_report(&report, ReportAge::Current, &self.clock, self.now);
     }
 
     /// Updates an endpoint and the endpoints' clock from a load report of unknown age.
-    pub(crate) fn observe_report(&mut self, endpoint: EndpointKey, report: &LoadReport) {
+    pub(crate) fn update_from_report(&mut self, endpoint: EndpointKey, report: &LoadReport) {
         if let Some(position) = report.log_position {
             self.clock.observe_past_time(position, self.now);
         }
-        self.endpoints[endpoint].observe_report(report, ReportAge::Unknown, &self.clock, self.now);
+        self.endpoints[endpoint].update_from_report(report, ReportAge::Unknown, &self.clock, self.now);
     }
 
     pub(crate) fn settings(&self) -> &Settings {
@@ -128,7 +128,7 @@
     /// Returns the number of attempts that this pooler has in flight at an endpoint, including abandoned
     /// ones that may still be executing.
     pub(crate) fn load(&self, endpoint: EndpointKey) -> u32 {
-        self.endpoints[endpoint].load().total(self.now)
+        self.endpoints[endpoint].load().in_flight_and_abandoned(self.now)
     }
 
     /// Whether an endpoint is not ejected as an outlier.
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -9,7 +9,7 @@
 use crate::policy::read_routing::ReadRouter;
 use crate::policy::request::{Attempt, EndedAttempt, PendingRequest, RequestContext, RequestKey};
 use crate::policy::retry::{self, Replacement};
-use crate::policy::{NoRoute, Policy, Route};
+use crate::policy::{Policy, RouteError, RouteResult};
 use crate::time::Span;
 
 /// Share of a request's timeout for which it may wait without reaching an endpoint. The rest leaves its
@@ -46,7 +46,7 @@
         self.health_checks.deposit();
         self.slow_start.record_request(request.group, needs_primary, &self.cluster);
         if let Some(group) = self.cluster.endpoints_mut().group_mut(request.group) {
-            group.request_received(now);
+            group.record_request(now);
         }
     }
 
@@ -98,14 +98,14 @@
             self.cluster.now() >= request.context().queue_deadline && request.has_reached_no_endpoint();
         match self.route(key) {
             Ok(endpoint) => self.send(key, endpoint),
-            Err(NoRoute::Queue) if is_queue_time_over => self.give_up(key, GiveUpReason::QueueTimeout),
-            Err(NoRoute::Queue) => self.enqueue(key),
-            Err(NoRoute::GiveUp(reason)) => self.give_up(key, reason),
+            Err(RouteError::Queue) if is_queue_time_over => self.give_up(key, GiveUpReason::QueueTimeout),
+            Err(RouteError::Queue) => self.enqueue(key),
+            Err(RouteError::GiveUp(reason)) => self.give_up(key, reason),
         }
     }
 
-    fn route(&mut self, key: RequestKey) -> Route {
-        let no_endpoint = NoRoute::GiveUp(GiveUpReason::NoEndpoint);
+    fn route(&mut self, key: RequestKey) -> RouteResult {
+        let no_endpoint = RouteError::GiveUp(GiveUpReason::NoEndpoint);
         let request = self.requests.get(key).ok_or(no_endpoint)?;
         if self.cluster.class(request.class()).needs_primary() {
             return primary::route(request, &self.cluster, &self.admission, &self.slow_start);
@@ -138,7 +138,7 @@
         request.add_attempt(Attempt::new(to, now));
         self.actions.push(Action::Send { id, endpoint, timeout });
         self.slow_start.charge_budget(to, &self.cluster);
-        self.cluster.endpoint_mut(to).attempt_sent(now);
+        self.cluster.endpoint_mut(to).record_attempt_sent(now);
     }
 
     /// Gives a request its final answer: a rejection if a retry by the client is safe, else a failure.
@@ -155,8 +155,8 @@
     pub(crate) fn attempt_finished(&mut self, result: &AttemptResult) {
         let Some(endpoint) = self.cluster.endpoints().key(&result.endpoint) else { return };
         let sent_at = self.requests.attempt(result).map(Attempt::sent_at);
-        self.cluster.observe_response(endpoint, result, sent_at);
-        self.cluster.observe_report(endpoint, &result.report);
+        self.cluster.update_from_response(endpoint, result, sent_at);
+        self.cluster.update_from_report(endpoint, &result.report);
         if let Some(ended) = self.requests.end_attempt(result) {
             self.record_outcome(&ended, result);
             self.close_idle_connections(endpoint);
@@ -172,7 +172,7 @@
     fn record_outcome(&mut self, ended: &EndedAttempt, result: &AttemptResult) {
         let now = self.cluster.now();
         let endpoint = ended.attempt.endpoint();
-        self.cluster.endpoint_mut(endpoint).attempt_ended(result.outcome, now);
+        self.cluster.endpoint_mut(endpoint).record_attempt_ended(result.outcome, now);
         let observation = Observation {
             attempt: &ended.attempt,
             result,
@@ -221,13 +221,13 @@
     /// Records the silence of endpoints as failures, and replaces overdue attempts.
     pub(crate) fn handle_overdue_attempts(&mut self) {
         for overdue in overdue::overdue_attempts(&self.requests, &self.admission, &self.cluster) {
-            if overdue.cause.is_endpoint_silent {
-                self.record_silence(overdue.endpoint, overdue.late_attempts);
+            if overdue.cause.is_endpoint_unresponsive {
+                self.record_unresponsive_endpoint(overdue.endpoint, overdue.late_attempts);
             }
             let Some(request) = self.requests.unfinished_mut(overdue.request) else { continue };
             if let Some(attempt) = request.attempt_mut(overdue.number) {
-                if overdue.cause.is_endpoint_silent {
-                    attempt.count_silence();
+                if overdue.cause.is_endpoint_unresponsive {
+                    attempt.mark_counted_as_failure();
                 }
             }
             self.replace_attempt(&overdue);
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -131,8 +131,8 @@
             Outcome::ConnectionReset => {
                 Evidence { health: HealthEvidence::Failed { weight: CONNECTION_RESET_WEIGHT }, ..no_evidence }
             }
-            Outcome::ConnectFailed => Evidence { health: self.connect_failure(), ..no_evidence },
-            Outcome::Timeout => self.timeout(),
+            Outcome::ConnectFailed => Evidence { health: self.connect_failure_evidence(), ..no_evidence },
+            Outcome::Timeout => self.timeout_evidence(),
             Outcome::Cancelled => {
                 Evidence { counts_as_load_until: Some(self.abandoned_until()), ..no_evidence }
             }
@@ -148,7 +148,7 @@
 
     /// Weighs a failure to connect. An immediate refusal means that the process is dead or that its
     /// connections are exhausted.
-    fn connect_failure(&self) -> HealthEvidence {
+    fn connect_failure_evidence(&self) -> HealthEvidence {
         let is_refused = self.is_connection_refused();
         // If the endpoint has just answered other requests, only this connection may have failed.
         let has_just_answered = self
@@ -157,20 +157,20 @@
             .is_some_and(|answered_at| self.now - answered_at < self.settings.connect_timeout);
         let weight =
             if is_refused && !has_just_answered { EJECTION_SCORE } else { CONNECTION_FAILURE_WEIGHT };
-        let is_counted = self.attempt.is_silence_counted() && !is_refused;
+        let is_counted = self.attempt.is_counted_as_failure() && !is_refused;
         HealthEvidence::ConnectFailed { weight: (!is_counted).then_some(weight) }
     }
 
     /// Returns what a timeout shows. One that is shorter than the usual latency, such as that of a request
     /// with little time left, says nothing about the health of the endpoint.
-    fn timeout(&self) -> Evidence {
+    fn timeout_evidence(&self) -> Evidence {
         let is_late = self.result.elapsed > self.class_latency.upper_bound(LATE_DEVIATIONS);
         let counts = is_late && !self.attempt.is_cancelled();
         // An endpoint that still answers other requests is overloaded; ejecting it would overload the others.
-        let is_silent = self.endpoint.is_silent_since(self.attempt.sent_at());
+        let is_unresponsive = self.endpoint.has_not_responded_since(self.attempt.sent_at());
         let failed = HealthEvidence::Failed { weight: FAILURE_WEIGHT };
         Evidence {
-            health: if counts && is_silent { failed } else { HealthEvidence::Inconclusive },
+            health: if counts && is_unresponsive { failed } else { HealthEvidence::Inconclusive },
             counts_as_load_until: Some(self.abandoned_until()),
             latency: counts.then(|| self.latency_sample()),
             stale_until: None,
@@ -191,7 +191,7 @@
 }
 
 /// Returns the failure weight of an endpoint that is silent while this many attempts are late.
-pub(crate) fn silence_weight(is_primary: bool, late_attempts: u32) -> f64 {
+pub(crate) fn unresponsive_endpoint_weight(is_primary: bool, late_attempts: u32) -> f64 {
     if is_primary && late_attempts < LATE_ATTEMPTS_TO_EJECT_PRIMARY {
         CONNECTION_FAILURE_WEIGHT
     } else {
--- a/src/policy/endpoint/evidence/tests.rs
+++ b/src/policy/endpoint/evidence/tests.rs
@@ -7,20 +7,20 @@
 /// When the attempt was sent, in seconds.
 const SENT_AT: f64 = 10.0;
 
-struct Case {
+struct Fixture {
     endpoint: EndpointState,
     attempt: Attempt,
     latency: LatencyEstimator,
     settings: Settings,
 }
 
-impl Case {
+impl Fixture {
     /// Creates a case with an endpoint that last responded at `answered_at`. The latency of the class has a
     /// mean and a deviation of 50 ms.
-    fn new(answered_at: f64) -> Case {
+    fn with_last_response_at(answered_at: f64) -> Fixture {
         let mut endpoint = EndpointState::new("db-1".into(), 0, 0);
-        endpoint.attempt_ended(Outcome::Overloaded, at(answered_at));
-        Case {
+        endpoint.record_attempt_ended(Outcome::Overloaded, at(answered_at));
+        Fixture {
             endpoint,
             attempt: Attempt::new(0, at(SENT_AT)),
             latency: LatencyEstimator::new(secs(0.05)),
@@ -63,7 +63,7 @@
 #[case::not_sent(Outcome::NotSent, HealthEvidence::Inconclusive)]
 #[case::invalid(Outcome::InvalidRequest, HealthEvidence::Inconclusive)]
 fn each_outcome_has_its_evidence(#[case] outcome: Outcome, #[case] expected: HealthEvidence) {
-    let evidence = Case::new(9.0).evidence(outcome, 0.1);
+    let evidence = Fixture::with_last_response_at(9.0).evidence(outcome, 0.1);
     assert_eq!(evidence.health, expected);
     assert_eq!(evidence.stale_until.is_some(), outcome == Outcome::Ineligible);
     assert_eq!(evidence.latency.is_some(), outcome == Outcome::Success);
@@ -80,33 +80,33 @@
     #[case] elapsed: f64,
     #[case] weight: Option<f64>,
 ) {
-    let evidence = Case::new(answered_at).evidence(Outcome::ConnectFailed, elapsed);
+    let evidence = Fixture::with_last_response_at(answered_at).evidence(Outcome::ConnectFailed, elapsed);
     assert_eq!(evidence.health, HealthEvidence::ConnectFailed { weight });
 }
 
 #[test]
-fn silence_is_not_counted_a_second_time_when_the_connection_fails() {
-    let mut case = Case::new(9.0);
-    case.attempt.count_silence();
-    let timed_out = case.evidence(Outcome::ConnectFailed, 0.25);
+fn an_unresponsive_endpoint_is_not_counted_again_when_the_connection_fails() {
+    let mut fixture = Fixture::with_last_response_at(9.0);
+    fixture.attempt.mark_counted_as_failure();
+    let timed_out = fixture.evidence(Outcome::ConnectFailed, 0.25);
     assert_eq!(timed_out.health, HealthEvidence::ConnectFailed { weight: None });
-    let refused = case.evidence(Outcome::ConnectFailed, 0.01);
+    let refused = fixture.evidence(Outcome::ConnectFailed, 0.01);
     assert_eq!(refused.health, HealthEvidence::ConnectFailed { weight: Some(EJECTION_SCORE) });
 }
 
 #[test]
-fn a_timeout_counts_if_it_is_late_and_the_endpoint_is_silent() {
+fn a_timeout_counts_if_it_is_late_and_the_endpoint_is_unresponsive() {
     let failed = HealthEvidence::Failed { weight: FAILURE_WEIGHT };
-    let late = Case::new(9.0).evidence(Outcome::Timeout, 0.2);
+    let late = Fixture::with_last_response_at(9.0).evidence(Outcome::Timeout, 0.2);
     assert_eq!((late.health, late.latency.is_some()), (failed, true));
-    let short = Case::new(9.0).evidence(Outcome::Timeout, 0.1);
+    let short = Fixture::with_last_response_at(9.0).evidence(Outcome::Timeout, 0.1);
     assert_eq!((short.health, short.latency.is_some()), (HealthEvidence::Inconclusive, false));
-    let answers_others = Case::new(10.1).evidence(Outcome::Timeout, 0.2);
+    let answers_others = Fixture::with_last_response_at(10.1).evidence(Outcome::Timeout, 0.2);
     assert_eq!(
         (answers_others.health, answers_others.latency.is_some()),
         (HealthEvidence::Inconclusive, true)
     );
-    let mut cancelled = Case::new(9.0);
+    let mut cancelled = Fixture::with_last_response_at(9.0);
     cancelled.attempt.cancel();
     let cancelled = cancelled.evidence(Outcome::Timeout, 0.2);
     assert_eq!((cancelled.health, cancelled.latency.is_some()), (HealthEvidence::Inconclusive, false));
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn a_silent_primary_is_ejected_with_its_second_late_attempt() {
-    assert_eq!(silence_weight(true, 1), CONNECTION_FAILURE_WEIGHT);
-    assert_eq!(silence_weight(true, 2), EJECTION_SCORE);
-    assert_eq!(silence_weight(false, 1), EJECTION_SCORE);
+fn an_unresponsive_primary_is_ejected_with_its_second_late_attempt() {
+    assert_eq!(unresponsive_endpoint_weight(true, 1), CONNECTION_FAILURE_WEIGHT);
+    assert_eq!(unresponsive_endpoint_weight(true, 2), EJECTION_SCORE);
+    assert_eq!(unresponsive_endpoint_weight(false, 1), EJECTION_SCORE);
 }
--- a/src/policy/endpoint/load.rs
+++ b/src/policy/endpoint/load.rs
@@ -35,20 +35,20 @@
 
 impl EndpointLoad {
     /// Records that an attempt was sent.
-    pub(crate) fn attempt_sent(&mut self, now: LocalInstant) {
+    pub(crate) fn record_attempt_sent(&mut self, now: LocalInstant) {
         self.mean_in_flight += SAMPLE_WEIGHT * (f64::from(self.in_flight) - self.mean_in_flight);
         self.in_flight += 1;
         self.last_sent_at = Some(now);
     }
 
     /// Records that an attempt ended.
-    pub(crate) fn attempt_ended(&mut self, now: LocalInstant) {
+    pub(crate) fn record_attempt_ended(&mut self, now: LocalInstant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.abandoned_until.retain(|until| *until > now);
     }
 
     /// Counts an attempt that has ended as load until the given time.
-    pub(crate) fn record_abandoned(&mut self, until: LocalInstant) {
+    pub(crate) fn add_abandoned_attempt(&mut self, until: LocalInstant) {
         self.abandoned_until.push(until);
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Returns the number of attempts in flight, including abandoned ones that may still be executing.
-    pub(crate) fn total(&self, now: LocalInstant) -> u32 {
+    pub(crate) fn in_flight_and_abandoned(&self, now: LocalInstant) -> u32 {
         let abandoned = self.abandoned_until.iter().filter(|until| **until > now).count();
         self.in_flight + abandoned as u32
     }
@@ -78,7 +78,7 @@
     /// `class_mean`. The prediction is proportional to the latency ratio of the endpoint, and to its present
     /// load relative to its mean load where that is above 1.
     pub(crate) fn predict_latency(&self, class_mean: Span, now: LocalInstant) -> Span {
-        let load_factor = (f64::from(self.total(now)) + 1.0) / (self.mean_in_flight + 1.0);
+        let load_factor = (f64::from(self.in_flight_and_abandoned(now)) + 1.0) / (self.mean_in_flight + 1.0);
         class_mean * self.latency_ratio.max(MIN_PREDICTED_RATIO) * load_factor.max(1.0)
     }
 
--- a/src/policy/endpoint/mod.rs
+++ b/src/policy/endpoint/mod.rs
@@ -27,7 +27,7 @@
     load: EndpointLoad,
     last_response_at: Option<LocalInstant>,
     /// The latest send time among the attempts that the endpoint has served.
-    latest_served_sent_at: Option<LocalInstant>,
+    newest_served_attempt_sent_at: Option<LocalInstant>,
 }
 
 impl EndpointState {
@@ -51,14 +51,14 @@
     }
 
     /// Updates role and log position from a report of the endpoint about itself.
-    pub(crate) fn observe_report(
+    pub(crate) fn update_from_report(
         &mut self,
         report: &LoadReport,
         age: ReportAge,
         clock: &ClusterClock,
         now: LocalInstant,
     ) {
-        self.replication.observe_report(report, age, clock, now);
+        self.replication.update_from_report(report, age, clock, now);
     }
 
     /// Returns the newest claim that this endpoint is the primary, made by the endpoint itself or by the
@@ -69,15 +69,15 @@
     }
 
     /// Records that an attempt was sent.
-    pub(crate) fn attempt_sent(&mut self, now: LocalInstant) {
-        self.health.request_sent();
-        self.load.attempt_sent(now);
+    pub(crate) fn record_attempt_sent(&mut self, now: LocalInstant) {
+        self.health.record_request_sent();
+        self.load.record_attempt_sent(now);
     }
 
     /// Records that an attempt ended with this outcome.
-    pub(crate) fn attempt_ended(&mut self, outcome: Outcome, now: LocalInstant) {
-        self.health.request_ended();
-        self.load.attempt_ended(now);
+    pub(crate) fn record_attempt_ended(&mut self, outcome: Outcome, now: LocalInstant) {
+        self.health.record_request_ended();
+        self.load.record_attempt_ended(now);
         if outcome.is_response() {
             self.last_response_at = Some(now);
         }
@@ -95,7 +95,7 @@
             self.load.record_latency(sample.latency, sample.class_mean);
         }
         if let Some(until) = evidence.counts_as_load_until {
-            self.load.record_abandoned(until);
+            self.load.add_abandoned_attempt(until);
         }
         if let Some(until) = evidence.stale_until {
             self.replication.mark_stale_until(until);
@@ -113,7 +113,7 @@
     }
 
     fn record_success(&mut self, sent_at: LocalInstant, now: LocalInstant) -> Option<StateChange> {
-        self.latest_served_sent_at = self.latest_served_sent_at.max(Some(sent_at));
+        self.newest_served_attempt_sent_at = self.newest_served_attempt_sent_at.max(Some(sent_at));
         if !self.health.record_success(now) {
             return None;
         }
@@ -165,18 +165,18 @@
     }
 
     /// Whether the endpoint has not responded at or after `time`.
-    pub(crate) fn is_silent_since(&self, time: LocalInstant) -> bool {
+    pub(crate) fn has_not_responded_since(&self, time: LocalInstant) -> bool {
         self.last_response_at.is_none_or(|answered_at| answered_at < time)
     }
 
     /// Returns the latest send time among the attempts that the endpoint has served.
-    pub(crate) fn latest_served_sent_at(&self) -> Option<LocalInstant> {
-        self.latest_served_sent_at
+    pub(crate) fn newest_served_attempt_sent_at(&self) -> Option<LocalInstant> {
+        self.newest_served_attempt_sent_at
     }
 
     /// Whether the endpoint was removed from the list, has no attempt in flight, and was last listed and
     /// used before `horizon`.
-    pub(crate) fn is_removed_since(&self, horizon: LocalInstant) -> bool {
+    pub(crate) fn may_be_purged(&self, horizon: LocalInstant) -> bool {
         let last_used = self.load.last_sent_at().max(Some(self.listing.last_listed_at()));
         let is_idle = self.load.in_flight() == 0 && last_used < Some(horizon);
         self.listing.status() == EndpointStatus::Removed && is_idle
--- a/src/policy/endpoint/outlier_detection.rs
+++ b/src/policy/endpoint/outlier_detection.rs
@@ -89,12 +89,12 @@
     }
 
     /// Records that a request was sent. It is a trial if the endpoint is ejected.
-    pub(crate) fn request_sent(&mut self) {
+    pub(crate) fn record_request_sent(&mut self) {
         self.trial_in_flight |= self.is_ejected();
     }
 
     /// Records that a request ended.
-    pub(crate) fn request_ended(&mut self) {
+    pub(crate) fn record_request_ended(&mut self) {
         self.trial_in_flight = false;
     }
 
--- a/src/policy/endpoint/outlier_detection/tests.rs
+++ b/src/policy/endpoint/outlier_detection/tests.rs
@@ -50,7 +50,7 @@
     let duration = eject(&mut detector, at(10.0));
     assert!(!detector.is_trial_due(at(10.0) + duration - secs(0.01)));
     assert!(detector.is_trial_due(at(10.0) + duration));
-    detector.request_sent();
+    detector.record_request_sent();
     assert!(!detector.is_trial_due(at(10.0) + duration));
 }
 
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -66,7 +66,7 @@
 impl Replication {
     /// Applies a reported log position, which never decreases, and a reported role. A role in a response is
     /// dated now; one in a load report, whose age is unknown, is dated by its log position.
-    pub(crate) fn observe_report(
+    pub(crate) fn update_from_report(
         &mut self,
         report: &LoadReport,
         age: ReportAge,
@@ -119,12 +119,12 @@
 
     /// Returns when the endpoint first reported its present log position. Later reports of the same position
     /// do not change this time.
-    pub(crate) fn reported_at(&self) -> Option<LocalInstant> {
+    pub(crate) fn log_position_reported_at(&self) -> Option<LocalInstant> {
         self.reported.map(|reported| reported.reported_at)
     }
 
     /// Returns the replication lag of the endpoint at the time when it reported its log position.
-    pub(crate) fn lag(&self, clock: &ClusterClock) -> Option<Span> {
+    pub(crate) fn lag_at_report(&self, clock: &ClusterClock) -> Option<Span> {
         let reported = self.reported?;
         Some(clock.estimate(reported.reported_at) - reported.position)
     }
--- a/src/policy/endpoint/tests.rs
+++ b/src/policy/endpoint/tests.rs
@@ -16,7 +16,7 @@
 #[test]
 fn a_listed_role_counts_only_if_it_is_newer_than_the_reported_one() {
     let mut endpoint = endpoint();
-    endpoint.observe_report(&report(10.0, Role::Replica), ReportAge::Current, &CLOCK, at(10.0));
+    endpoint.update_from_report(&report(10.0, Role::Replica), ReportAge::Current, &CLOCK, at(10.0));
     let entry = Endpoint { id: "db-1".into(), role: Role::Primary, ..Endpoint::default() };
     endpoint.apply_list_entry(UpdateKind::Delta, &entry, at(12.0));
     assert_eq!(endpoint.primary_claim(secs(5.0)), None);
@@ -44,12 +44,15 @@
 #[test]
 fn abandoned_attempts_count_as_load_until_their_time() {
     let mut endpoint = endpoint();
-    endpoint.attempt_sent(at(1.0));
-    endpoint.load.record_abandoned(at(3.0));
-    assert_eq!((endpoint.load.total(at(2.0)), endpoint.load.total(at(3.0))), (2, 1));
-    endpoint.attempt_ended(Outcome::Timeout, at(4.0));
-    assert_eq!((endpoint.load.total(at(2.0)), endpoint.load.abandoned_count()), (0, 0));
-    assert!(endpoint.is_silent_since(at(1.0)), "a timeout is no response");
-    endpoint.attempt_ended(Outcome::Overloaded, at(5.0));
-    assert!(!endpoint.is_silent_since(at(5.0)));
+    endpoint.record_attempt_sent(at(1.0));
+    endpoint.load.add_abandoned_attempt(at(3.0));
+    assert_eq!(
+        (endpoint.load.in_flight_and_abandoned(at(2.0)), endpoint.load.in_flight_and_abandoned(at(3.0))),
+        (2, 1)
+    );
+    endpoint.record_attempt_ended(Outcome::Timeout, at(4.0));
+    assert_eq!((endpoint.load.in_flight_and_abandoned(at(2.0)), endpoint.load.abandoned_count()), (0, 0));
+    assert!(endpoint.has_not_responded_since(at(1.0)), "a timeout is no response");
+    endpoint.record_attempt_ended(Outcome::Overloaded, at(5.0));
+    assert!(!endpoint.has_not_responded_since(at(5.0)));
 }
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -57,7 +57,7 @@
         if self.cluster.settings().health_checks {
             self.send_health_checks(group_id, is_searching);
         } else if is_searching {
-            self.send_discovery_write(group_id);
+            self.send_search_write(group_id);
         }
     }
 
@@ -77,12 +77,12 @@
         }
     }
 
-    fn send_discovery_write(&mut self, group_id: u32) {
+    fn send_search_write(&mut self, group_id: u32) {
         let Some(group) = self.cluster.group(group_id) else { return };
-        let write = search::discovery_write(group, &self.requests, &self.slow_start, &self.cluster);
+        let write = search::next_search_write(group, &self.requests, &self.slow_start, &self.cluster);
         let Some(write) = write else { return };
         if let Some(group) = self.cluster.endpoints_mut().group_mut(group_id) {
-            group.start_discovery(write.request);
+            group.dequeue_search_write(write.request);
         }
         self.send(write.request, write.endpoint);
     }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -35,12 +35,12 @@
         match consistency {
             Consistency::Eventual => RequiredPosition::Any,
             Consistency::Session => session_token,
-            Consistency::BoundedStaleness(bound) => position_at(cluster, cluster.now()).lowered_by(bound),
+            Consistency::BoundedStaleness(bound) => position_at(cluster, cluster.now()).relaxed_by(bound),
             Consistency::Write | Consistency::Strong => RequiredPosition::Unknown,
         }
     }
 
-    fn lowered_by(self, bound: Span) -> RequiredPosition {
+    fn relaxed_by(self, bound: Span) -> RequiredPosition {
         match self {
             RequiredPosition::AtLeast(position) => RequiredPosition::AtLeast(position - bound),
             other => other,
@@ -48,7 +48,7 @@
     }
 
     /// Whether an endpoint whose known position is `position` meets the requirement.
-    pub(crate) fn is_reached_at(self, position: Option<LogPosition>) -> bool {
+    pub(crate) fn is_met_by(self, position: Option<LogPosition>) -> bool {
         match self {
             RequiredPosition::Any => true,
             RequiredPosition::AtLeast(required) => position.is_some_and(|position| position >= required),
@@ -90,7 +90,7 @@
     required: RequiredPosition,
     cluster: &Cluster,
 ) -> Freshness {
-    if required.is_reached_at(endpoint.replication().log_position()) {
+    if required.is_met_by(endpoint.replication().log_position()) {
         return Freshness::Fresh;
     }
     let rejects_stale_reads = cluster.settings().stale_reads.rejects_stale_reads();
@@ -107,13 +107,14 @@
 /// Whether an endpoint may have reached a position: its position is unknown, its lag at the last report would
 /// still allow it, or more time than this lag has passed since the report, so that it may have caught up.
 fn may_have_reached(endpoint: &EndpointState, required: RequiredPosition, cluster: &Cluster) -> bool {
-    let (Some(lag), Some(reported_at)) =
-        (endpoint.replication().lag(cluster.clock()), endpoint.replication().reported_at())
-    else {
+    let (Some(lag), Some(reported_at)) = (
+        endpoint.replication().lag_at_report(cluster.clock()),
+        endpoint.replication().log_position_reported_at(),
+    ) else {
         return true;
     };
     let may_have_caught_up = cluster.now() - reported_at > lag;
-    required.is_reached_at(Some(cluster.estimated_now() - lag)) || may_have_caught_up
+    required.is_met_by(Some(cluster.estimated_now() - lag)) || may_have_caught_up
 }
 
 /// Whether an endpoint may lag too far behind for any bounded read, according to its reported position, or
@@ -139,10 +140,11 @@
 /// Whether the log position of an endpoint should be refreshed by a health check: the endpoint is in the
 /// pooler's own zone and its position will soon be too old for reads, or the position is unknown and
 /// endpoints serve stale reads, so that no read may be sent to learn it.
-pub(crate) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
+pub(crate) fn needs_position_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness_bound() * REFRESH_AGE_SHARE;
     let is_local = endpoint.listing().zone() == cluster.settings().zone;
-    let is_old = endpoint.replication().reported_at().is_none_or(|at| cluster.now() - at > max_age);
+    let is_old =
+        endpoint.replication().log_position_reported_at().is_none_or(|at| cluster.now() - at > max_age);
     let is_unknown = endpoint.replication().log_position().is_none()
         && !cluster.settings().stale_reads.rejects_stale_reads();
     is_local && is_old || is_unknown
--- a/src/policy/freshness/tests.rs
+++ b/src/policy/freshness/tests.rs
@@ -17,7 +17,7 @@
     let mut endpoint = EndpointState::new("replica".into(), 0, 0);
     let report = LoadReport { log_position: Some(position(log_position)), role: Some(Role::Replica) };
     let clock = cluster(reported_at, StaleReadHandling::Reject);
-    endpoint.observe_report(&report, ReportAge::Current, clock.clock(), at(reported_at));
+    endpoint.update_from_report(&report, ReportAge::Current, clock.clock(), at(reported_at));
     endpoint
 }
 
@@ -67,8 +67,8 @@
         RequiredPosition::Unknown,
     ];
     assert!(positions.is_sorted());
-    assert!(!RequiredPosition::Unknown.is_reached_at(Some(position(1e9))));
-    assert!(RequiredPosition::Any.is_reached_at(None));
+    assert!(!RequiredPosition::Unknown.is_met_by(Some(position(1e9))));
+    assert!(RequiredPosition::Any.is_met_by(None));
 }
 
 #[test]
@@ -85,12 +85,12 @@
 fn only_old_positions_of_local_replicas_are_refreshed() {
     let at_time = |now| cluster(now, StaleReadHandling::Reject);
     let endpoint = replica(10.0, 10.0);
-    assert!(!needs_refresh(&endpoint, &at_time(10.6)));
-    assert!(needs_refresh(&endpoint, &at_time(10.8)));
+    assert!(!needs_position_refresh(&endpoint, &at_time(10.6)));
+    assert!(needs_position_refresh(&endpoint, &at_time(10.8)));
     let remote = EndpointState::new("remote".into(), 1, 0);
-    assert!(!needs_refresh(&remote, &at_time(10.8)));
+    assert!(!needs_position_refresh(&remote, &at_time(10.8)));
     assert!(
-        needs_refresh(&remote, &cluster(10.8, StaleReadHandling::Serve)),
+        needs_position_refresh(&remote, &cluster(10.8, StaleReadHandling::Serve)),
         "no read may be sent to learn the position"
     );
     assert_eq!(at_time(10.0).shortest_staleness_bound(), secs(1.0));
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -9,10 +9,10 @@
     /// Handles the end of a health check.
     pub(crate) fn health_checked(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
         let Some(endpoint) = self.cluster.endpoints().key(id) else { return };
-        self.health_checks.finished(endpoint);
+        self.health_checks.record_finished(endpoint);
         match outcome {
             // Not recorded as a success, since an endpoint that hangs still answers health checks.
-            Outcome::Success => self.cluster.observe_report(endpoint, report),
+            Outcome::Success => self.cluster.update_from_report(endpoint, report),
             // Not recorded as a failure, since endpoints limit the rate of health checks.
             Outcome::Overloaded | Outcome::NotSent => {}
             Outcome::Error
@@ -28,8 +28,8 @@
 
     /// Records the silence of an endpoint as a failure. `late_attempts` is the number of attempts at the
     /// endpoint that are late.
-    pub(crate) fn record_silence(&mut self, endpoint: EndpointKey, late_attempts: u32) {
-        let weight = evidence::silence_weight(self.cluster.is_primary(endpoint), late_attempts);
+    pub(crate) fn record_unresponsive_endpoint(&mut self, endpoint: EndpointKey, late_attempts: u32) {
+        let weight = evidence::unresponsive_endpoint_weight(self.cluster.is_primary(endpoint), late_attempts);
         self.record_failure(endpoint, weight);
     }
 
--- a/src/policy/housekeeping.rs
+++ b/src/policy/housekeeping.rs
@@ -37,7 +37,7 @@
     }
 
     /// Records that the timer has expired, so that it can be scheduled again.
-    pub(crate) fn timer_expired(&mut self) {
+    pub(crate) fn record_timer_expired(&mut self) {
         self.is_scheduled = false;
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -67,7 +67,7 @@
 
 /// Why a request cannot be routed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoRoute {
+pub(crate) enum RouteError {
     /// The request has to wait in the queue of its group.
     Queue,
     /// The request has to be given up.
@@ -75,7 +75,7 @@
 }
 
 /// The endpoint that a request is sent to, or the reason why it cannot be sent now.
-pub(crate) type Route = Result<EndpointKey, NoRoute>;
+pub(crate) type RouteResult = Result<EndpointKey, RouteError>;
 
 /// The routing policy of one pooler: a deterministic state machine that turns events into actions.
 pub struct Policy {
@@ -149,7 +149,7 @@
     /// Does the periodic work that no event triggers: restarts the watch, handles overdue attempts, removes
     /// expired state, searches for lost primaries and dispatches queued requests.
     fn run_housekeeping(&mut self) {
-        self.housekeeping.timer_expired();
+        self.housekeeping.record_timer_expired();
         let now = self.cluster.now();
         if self.watch.start_if_due(self.cluster.settings(), now) {
             self.actions.push(Action::Watch);
@@ -182,10 +182,10 @@
         }
         let started = self.cluster.apply_list_update(kind, entries);
         for &endpoint in &started.added {
-            self.health_checks.endpoint_added(endpoint);
+            self.health_checks.reset(endpoint);
         }
         for &endpoint in started.added.iter().chain(&started.restarted) {
-            self.slow_start.endpoint_started(endpoint);
+            self.slow_start.reset_budget(endpoint);
         }
         for group in self.cluster.endpoints().group_ids() {
             self.update_primary(group);
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -12,13 +12,13 @@
 const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
 /// An endpoint is silent if it has sent no response since an attempt that is this many deviations above the
 /// mean.
-const SILENT_DEVIATIONS: f64 = 6.0;
+const UNRESPONSIVE_DEVIATIONS: f64 = 6.0;
 
 /// Why an attempt is overdue. If neither applies, it is merely slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OverdueCause {
     /// The endpoint has sent no response since the attempt was sent.
-    pub(crate) is_endpoint_silent: bool,
+    pub(crate) is_endpoint_unresponsive: bool,
     /// The answer is taken to be lost: the endpoint has answered attempts that were sent much later.
     pub(crate) is_answer_lost: bool,
 }
@@ -58,7 +58,7 @@
         let AttemptInFlight { request, attempt, .. } = in_flight;
         let late_after = admission.class_latency(request.class()).upper_bound(LATE_DEVIATIONS);
         let is_late = cluster.now() - attempt.sent_at() > late_after;
-        is_late && cluster.endpoint(attempt.endpoint()).is_silent_since(attempt.sent_at())
+        is_late && cluster.endpoint(attempt.endpoint()).has_not_responded_since(attempt.sent_at())
     })
 }
 
@@ -72,17 +72,19 @@
     let latency = admission.class_latency(request.class());
     let age = cluster.now() - attempt.sent_at();
     let objective = class.latency_objective * OVERDUE_OBJECTIVE_SHARE;
-    if attempt.is_silence_counted() || age <= latency.upper_bound(OVERDUE_DEVIATIONS).min(objective) {
+    if attempt.is_counted_as_failure() || age <= latency.upper_bound(OVERDUE_DEVIATIONS).min(objective) {
         return None;
     }
-    let silent_after = latency.upper_bound(SILENT_DEVIATIONS);
+    let unresponsive_after = latency.upper_bound(UNRESPONSIVE_DEVIATIONS);
     let endpoint = cluster.endpoint(attempt.endpoint());
     // Only for writes: the latency of reads varies too much to tell a lost answer from a slow one.
     let may_be_lost = class.idempotency == Idempotency::IdempotencyKey;
-    let served_sent_at = endpoint.latest_served_sent_at();
-    let is_overtaken = served_sent_at.is_some_and(|sent_at| sent_at - attempt.sent_at() > silent_after);
+    let newest_served_sent_at = endpoint.newest_served_attempt_sent_at();
+    let is_overtaken =
+        newest_served_sent_at.is_some_and(|sent_at| sent_at - attempt.sent_at() > unresponsive_after);
     Some(OverdueCause {
-        is_endpoint_silent: age > silent_after && endpoint.is_silent_since(attempt.sent_at()),
-        is_answer_lost: age > silent_after && may_be_lost && is_overtaken,
+        is_endpoint_unresponsive: age > unresponsive_after
+            && endpoint.has_not_responded_since(attempt.sent_at()),
+        is_answer_lost: age > unresponsive_after && may_be_lost && is_overtaken,
     })
 }
--- a/src/policy/primary/health_checks.rs
+++ b/src/policy/primary/health_checks.rs
@@ -38,7 +38,7 @@
     pub(crate) fn is_refresh_due(&self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
         let last_sent_at = self.by_endpoint.get(endpoint).and_then(|checks| checks.last_sent_at);
         let is_due = last_sent_at.is_none_or(|at| cluster.now() - at > cluster.shortest_staleness_bound());
-        is_due && freshness::needs_refresh(cluster.endpoint(endpoint), cluster)
+        is_due && freshness::needs_position_refresh(cluster.endpoint(endpoint), cluster)
     }
 
     /// Starts a health check if the endpoint accepts requests, no other check of it is in flight, and the
@@ -57,12 +57,12 @@
     }
 
     /// Records that the health check of an endpoint has ended.
-    pub(crate) fn finished(&mut self, endpoint: EndpointKey) {
+    pub(crate) fn record_finished(&mut self, endpoint: EndpointKey) {
         self.checks_mut(endpoint).is_in_flight = false;
     }
 
     /// Resets the state of a key, which a removed endpoint may have used before.
-    pub(crate) fn endpoint_added(&mut self, endpoint: EndpointKey) {
+    pub(crate) fn reset(&mut self, endpoint: EndpointKey) {
         *self.checks_mut(endpoint) = EndpointChecks::default();
     }
 
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -10,7 +10,7 @@
 use crate::policy::give_up::GiveUpReason;
 use crate::policy::request::PendingRequest;
 use crate::policy::slow_start::SlowStart;
-use crate::policy::{NoRoute, Route};
+use crate::policy::{RouteError, RouteResult};
 
 /// Assumed age of the roles in the endpoint list, as a share of the longest watch gap.
 const LISTED_ROLE_AGE_SHARE: f64 = 0.5;
@@ -52,18 +52,18 @@
     cluster: &Cluster,
     admission: &Admission,
     slow_start: &SlowStart,
-) -> Route {
+) -> RouteResult {
     let group = cluster.group(request.group()).filter(|group| !group.members().is_empty());
-    let group = group.ok_or(NoRoute::GiveUp(GiveUpReason::NoEndpoint))?;
-    let primary = group.primary().ok_or(NoRoute::Queue)?;
+    let group = group.ok_or(RouteError::GiveUp(GiveUpReason::NoEndpoint))?;
+    let primary = group.primary().ok_or(RouteError::Queue)?;
     if cluster.is_trial_due(primary) {
         return Ok(primary);
     }
     if !cluster.is_healthy(primary) || !slow_start.admits_primary_request(request, primary, cluster) {
-        return Err(NoRoute::Queue);
+        return Err(RouteError::Queue);
     }
     if !admission.admits(request, primary, OBJECTIVE_FACTOR, cluster) {
-        return Err(NoRoute::GiveUp(GiveUpReason::NoCapacity));
+        return Err(RouteError::GiveUp(GiveUpReason::NoCapacity));
     }
     Ok(primary)
 }
--- a/src/policy/primary/search.rs
+++ b/src/policy/primary/search.rs
@@ -22,7 +22,7 @@
     /// When the next step is due; `None` while no search is in progress.
     next_step_at: Option<LocalInstant>,
     /// The latest discovery write.
-    discovery_write: Option<RequestKey>,
+    latest_write: Option<RequestKey>,
 }
 
 impl PrimarySearch {
@@ -45,33 +45,33 @@
     }
 
     /// Records that a discovery write was sent.
-    pub(crate) fn start_discovery(&mut self, write: RequestKey) {
-        self.discovery_write = Some(write);
+    pub(crate) fn record_write(&mut self, write: RequestKey) {
+        self.latest_write = Some(write);
     }
 }
 
 /// A discovery write and its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct DiscoveryWrite {
+pub(crate) struct SearchWrite {
     pub(crate) request: RequestKey,
     pub(crate) endpoint: EndpointKey,
 }
 
 /// Selects the next discovery write: the first suitable request of the queue, and as its target the endpoint
 /// with the latest log position. At most one discovery write of a group is in flight.
-pub(crate) fn discovery_write(
+pub(crate) fn next_search_write(
     group: &Group,
     requests: &RequestTable,
     slow_start: &SlowStart,
     cluster: &Cluster,
-) -> Option<DiscoveryWrite> {
-    let last_write = group.search().discovery_write.and_then(|key| requests.get(key));
+) -> Option<SearchWrite> {
+    let last_write = group.search().latest_write.and_then(|key| requests.get(key));
     if last_write.is_some_and(PendingRequest::is_in_flight) {
         return None;
     }
     let queued = group.queue().iter().filter_map(|key| Some((*key, requests.get(*key)?)));
     let (key, request) =
-        queued.into_iter().find(|(_, request)| retry::may_discover_primary(request, cluster))?;
+        queued.into_iter().find(|(_, request)| retry::may_be_search_write(request, cluster))?;
     let is_candidate = |endpoint: &EndpointKey| {
         let is_usable = cluster.accepts_requests(*endpoint) && cluster.is_healthy(*endpoint);
         let is_untried = !request.has_tried(*endpoint);
@@ -80,5 +80,5 @@
     let candidates = group.members().iter().copied().filter(is_candidate);
     let endpoint =
         candidates.max_by_key(|endpoint| cluster.endpoint(*endpoint).replication().log_position())?;
-    Some(DiscoveryWrite { request: key, endpoint })
+    Some(SearchWrite { request: key, endpoint })
 }
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -26,7 +26,7 @@
 use crate::policy::random::TwoChoices;
 use crate::policy::request::PendingRequest;
 use crate::policy::slow_start::SlowStart;
-use crate::policy::{NoRoute, Route};
+use crate::policy::{RouteError, RouteResult};
 use crate::settings::Consistency;
 use crate::time::LocalInstant;
 
@@ -106,7 +106,7 @@
     }
 
     /// Returns the endpoint that gets the read, or the reason why it cannot be sent now.
-    pub(crate) fn route(&self) -> Route {
+    pub(crate) fn route(&self) -> RouteResult {
         let steps = [
             ReadRouter::preferred_replica,
             ReadRouter::possibly_fresh_replica,
@@ -114,14 +114,14 @@
             ReadRouter::ejected_endpoint,
         ];
         let mut no_route = if self.candidates.is_empty() {
-            NoRoute::GiveUp(GiveUpReason::NoEndpoint)
+            RouteError::GiveUp(GiveUpReason::NoEndpoint)
         } else {
-            NoRoute::Queue
+            RouteError::Queue
         };
         for step in steps {
             match step(self) {
                 StepResult::Selected(endpoint) => return Ok(endpoint),
-                StepResult::NotAdmitted => no_route = NoRoute::GiveUp(GiveUpReason::NoCapacity),
+                StepResult::NotAdmitted => no_route = RouteError::GiveUp(GiveUpReason::NoCapacity),
                 StepResult::NoCandidate => {}
             }
         }
--- a/src/policy/request/attempt.rs
+++ b/src/policy/request/attempt.rs
@@ -9,11 +9,11 @@
 enum AttemptState {
     InFlight,
     /// In flight; that its endpoint has stopped answering was recorded as a failure.
-    SilenceCounted,
+    CountedAsFailure,
     /// Cancelled by the pooler; its result has not been reported yet.
     Cancelled,
     /// Both of the above: cancelled, and the silence of its endpoint was recorded as a failure.
-    CancelledAfterSilence,
+    CancelledAndCounted,
     /// Ended without having reached its endpoint.
     NotSent,
     /// Ended without proof whether the request was executed.
@@ -47,28 +47,28 @@
     pub(crate) fn is_in_flight(&self) -> bool {
         match self.state {
             AttemptState::InFlight
-            | AttemptState::SilenceCounted
+            | AttemptState::CountedAsFailure
             | AttemptState::Cancelled
-            | AttemptState::CancelledAfterSilence => true,
+            | AttemptState::CancelledAndCounted => true,
             AttemptState::NotSent | AttemptState::PossiblyExecuted | AttemptState::Answered => false,
         }
     }
 
     /// Whether the pooler has cancelled it and its result has not been reported yet.
     pub(crate) fn is_cancelled(&self) -> bool {
-        matches!(self.state, AttemptState::Cancelled | AttemptState::CancelledAfterSilence)
+        matches!(self.state, AttemptState::Cancelled | AttemptState::CancelledAndCounted)
     }
 
     /// Whether it is in flight and the silence of its endpoint was already recorded as a failure.
-    pub(crate) fn is_silence_counted(&self) -> bool {
-        matches!(self.state, AttemptState::SilenceCounted | AttemptState::CancelledAfterSilence)
+    pub(crate) fn is_counted_as_failure(&self) -> bool {
+        matches!(self.state, AttemptState::CountedAsFailure | AttemptState::CancelledAndCounted)
     }
 
     /// Records that the silence of its endpoint was counted as a failure, so that it is counted only once.
-    pub(crate) fn count_silence(&mut self) {
+    pub(crate) fn mark_counted_as_failure(&mut self) {
         self.state = match self.state {
-            AttemptState::InFlight => AttemptState::SilenceCounted,
-            AttemptState::Cancelled => AttemptState::CancelledAfterSilence,
+            AttemptState::InFlight => AttemptState::CountedAsFailure,
+            AttemptState::Cancelled => AttemptState::CancelledAndCounted,
             unchanged => unchanged,
         };
     }
@@ -77,7 +77,7 @@
     pub(crate) fn cancel(&mut self) {
         self.state = match self.state {
             AttemptState::InFlight => AttemptState::Cancelled,
-            AttemptState::SilenceCounted => AttemptState::CancelledAfterSilence,
+            AttemptState::CountedAsFailure => AttemptState::CancelledAndCounted,
             unchanged => unchanged,
         };
     }
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -43,17 +43,17 @@
 }
 
 #[test]
-fn cancellation_and_counted_silence_are_kept_until_the_attempt_ends() {
+fn cancellation_and_the_counted_failure_are_kept_until_the_attempt_ends() {
     let mut request = pending("a", 0);
     request.add_attempt(Attempt::new(0, at(1.0)));
     let attempt = request.attempt_mut(0).expect("attempt was added");
     attempt.cancel();
-    assert!(attempt.is_cancelled() && !attempt.is_silence_counted());
-    attempt.count_silence();
+    assert!(attempt.is_cancelled() && !attempt.is_counted_as_failure());
+    attempt.mark_counted_as_failure();
     attempt.cancel();
-    assert!(attempt.is_cancelled() && attempt.is_silence_counted() && attempt.is_in_flight());
+    assert!(attempt.is_cancelled() && attempt.is_counted_as_failure() && attempt.is_in_flight());
     let ended = request.end_attempt(0, Outcome::Cancelled).expect("attempt was in flight");
-    assert!(ended.is_cancelled() && ended.is_silence_counted());
+    assert!(ended.is_cancelled() && ended.is_counted_as_failure());
     assert!(request.end_attempt(0, Outcome::Success).is_none(), "already ended");
 }
 
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -145,7 +145,7 @@
 
 /// Whether a queued request may be sent to an endpoint that might be the primary, to find out whether it is.
 /// This takes a write that was not executed: a replica rejects writes without executing them.
-pub(crate) fn may_discover_primary(request: &PendingRequest, cluster: &Cluster) -> bool {
+pub(crate) fn may_be_search_write(request: &PendingRequest, cluster: &Cluster) -> bool {
     let is_write = cluster.class(request.class()).is_write();
     let is_unexecuted = request.possibly_executed_since().is_none() && next_attempt(request, cluster).is_ok();
     is_write && is_unexecuted && !request.is_finished() && !is_final_answer_due(request, cluster)
@@ -180,7 +180,8 @@
     if allows_hedging(class, cluster.settings()) {
         return next_attempt(request, cluster).is_ok().then_some(Replacement::Hedge);
     }
-    let may_cancel = cluster.settings().cancellation && (cause.is_endpoint_silent || cause.is_answer_lost);
+    let may_cancel =
+        cluster.settings().cancellation && (cause.is_endpoint_unresponsive || cause.is_answer_lost);
     may_cancel.then_some(Replacement::CancelAndRetry)
 }
 
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -104,14 +104,14 @@
     assert_eq!(charge_retry(Outcome::Timeout, false, &mut budget), Ok(()));
 }
 
-const SILENT: OverdueCause = OverdueCause { is_endpoint_silent: true, is_answer_lost: false };
-const LOST: OverdueCause = OverdueCause { is_endpoint_silent: false, is_answer_lost: true };
+const UNRESPONSIVE: OverdueCause = OverdueCause { is_endpoint_unresponsive: true, is_answer_lost: false };
+const LOST: OverdueCause = OverdueCause { is_endpoint_unresponsive: false, is_answer_lost: true };
 
 #[rstest]
-#[case::silent_read(IDEMPOTENT, SILENT, Some(Replacement::CancelAndRetry))]
-#[case::silent_write(KEYED, SILENT, None)]
+#[case::unresponsive_read(IDEMPOTENT, UNRESPONSIVE, Some(Replacement::CancelAndRetry))]
+#[case::unresponsive_write(KEYED, UNRESPONSIVE, None)]
 #[case::lost_write(KEYED, LOST, Some(Replacement::CancelAndRetry))]
-#[case::slow_read(IDEMPOTENT, OverdueCause { is_endpoint_silent: false, is_answer_lost: false }, None)]
+#[case::slow_read(IDEMPOTENT, OverdueCause { is_endpoint_unresponsive: false, is_answer_lost: false }, None)]
 fn an_attempt_is_replaced_where_that_is_safe(
     #[case] class: usize,
     #[case] cause: OverdueCause,
@@ -133,7 +133,7 @@
 #[test]
 fn a_request_is_hedged_while_its_endpoint_still_answers() {
     let request = attempted(IDEMPOTENT, None);
-    let cause = OverdueCause { is_endpoint_silent: false, is_answer_lost: false };
+    let cause = OverdueCause { is_endpoint_unresponsive: false, is_answer_lost: false };
     let latency = LatencyEstimator::new(secs(0.05));
     let hedging = cluster(0.3, |settings| settings.hedging = true);
     let replaced = replacement(&request, 0, cause, &latency, &RetryBudget::new(), &hedging);
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -95,7 +95,7 @@
     }
 
     /// Resets the budget of an endpoint that was added or restarted to [`INITIAL_BUDGET`].
-    pub(crate) fn endpoint_started(&mut self, endpoint: EndpointKey) {
+    pub(crate) fn reset_budget(&mut self, endpoint: EndpointKey) {
         if let Some(budget) = self.budgets.get_mut(endpoint) {
             *budget = TokenBucket::full(INITIAL_BUDGET);
         }
