--- a/src/policy/admission/latency.rs
+++ b/src/policy/admission/latency.rs
@@ -30,7 +30,7 @@
         self.deviation
     }
 
-    /// Returns the mean plus this many deviations.
+    /// Returns the mean plus `deviations` times the deviation.
     pub(crate) fn upper_bound(&self, deviations: f64) -> Span {
         self.mean + deviations * self.deviation
     }
--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -17,12 +17,13 @@
 const MIN_OBJECTIVE_SHARE: f64 = 0.45;
 /// Share of the latency objective that the predicted latency may take at the highest priority.
 const MAX_OBJECTIVE_SHARE: f64 = 0.75;
-/// Requests in flight at an endpoint, over all poolers, that are admitted whatever their predicted latency.
+/// Number of requests in flight at an endpoint, over all poolers, up to which the predicted latency is
+/// ignored.
 const UNCONDITIONAL_IN_FLIGHT: f64 = 8.0;
 /// Smallest burst allowed to a tenant. With many poolers, the share of one pooler in the quota can be less
 /// than one request per second.
 const MIN_TENANT_BURST: f64 = 2.0;
-/// Load shedding is logged again after no request has been shed for this long.
+/// Load shedding is logged again if no request was shed during this time.
 const SHEDDING_LOG_INTERVAL: Span = Span::from_secs(1.0);
 /// Initial latency estimate of a class, as a share of its latency objective.
 const INITIAL_LATENCY_SHARE: f64 = 0.25;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Charges a request to the quota of its tenant. A tenant that the settings do not have is unlimited.
+    /// Charges a request to the quota of its tenant. A tenant that is not in the settings is unlimited.
     pub(crate) fn charge_quota(&mut self, tenant: usize, now: LocalInstant) -> QuotaStatus {
         let quota = self.tenant_quotas.get_mut(tenant).and_then(Option::as_mut);
         if quota.is_none_or(|quota| quota.refill(now).withdraw_saturating()) {
@@ -127,9 +128,10 @@
     }
 }
 
-/// Admits some requests whatever their predicted latency, so that the estimates can recover: while this
-/// pooler has fewer requests in flight at the endpoint than its share of [`UNCONDITIONAL_IN_FLIGHT`], and
-/// otherwise at the rate that this share would sustain at the predicted latency.
+/// Returns whether a request is admitted regardless of its predicted latency, so that the estimates can
+/// recover: while this pooler has fewer requests in flight at the endpoint than its share of
+/// [`UNCONDITIONAL_IN_FLIGHT`], and otherwise at the rate that this share would sustain at the predicted
+/// latency.
 fn admits_unconditionally(to: EndpointKey, predicted: Span, cluster: &Cluster) -> bool {
     let load = cluster.endpoint(to).load();
     let pooler_share = UNCONDITIONAL_IN_FLIGHT / f64::from(cluster.settings().pooler_count);
--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -1,8 +1,8 @@
 //! The endpoints' clock: how far it may differ from the pooler's, and which times on it are plausible.
 //!
 //! The clock of a machine may have been stepped before the pooler read it, so the two clocks may differ. No
-//! endpoint has applied commits of the future, and the log position of a primary is the present time, so
-//! each response bounds the offset between the clocks.
+//! endpoint can have applied commits from the future, and the log position of a primary is its current time,
+//! so each response bounds the offset between the clocks.
 
 use crate::time::{ClusterInstant, LocalInstant, LogPosition, Span};
 
@@ -26,7 +26,7 @@
 }
 
 impl OffsetInterval {
-    /// Whether the two intervals have an offset in common.
+    /// Returns whether the two intervals have an offset in common.
     fn overlaps(&self, other: &OffsetInterval) -> bool {
         self.min <= other.max && other.min <= self.max
     }
@@ -54,7 +54,7 @@
 
     /// Records a time that the endpoints' clock had reached when it was received. Only responses of primaries
     /// can show that the pooler's clock is behind: otherwise a single wrong time would be taken for the
-    /// present.
+    /// current time.
     pub(crate) fn observe_past_time(&mut self, time: ClusterInstant, received_at: LocalInstant) {
         let offset = (time - POSITION_ROUNDING).offset_from(received_at);
         let max_offset = self.known_max_offset(received_at).unwrap_or_default();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Records the log position in the response of a primary, which was the present time when the primary
+    /// Records the log position in the response of a primary, which was the current time when the primary
     /// responded. A position that contradicts the known bounds, or the pooler's clock while there are none,
     /// is used only once a second one confirms it.
     pub(crate) fn observe_current_time(
@@ -117,8 +117,8 @@
         self.max_offset.map(|bound| bound.offset + MAX_DRIFT * (now - bound.measured_at))
     }
 
-    /// Returns the offsets that are consistent with the responses of primaries; only zero as long as there
-    /// are none.
+    /// Returns the offsets that are consistent with the responses of primaries; only zero while there are
+    /// none.
     fn known_interval(&self, now: LocalInstant) -> OffsetInterval {
         let Some(max) = self.known_max_offset(now) else {
             return OffsetInterval { min: Span::ZERO, max: Span::ZERO };
@@ -154,7 +154,7 @@
         time.to_local(self.estimated_offset(now))
     }
 
-    /// Whether a log position is finite and may have been reached by `now`.
+    /// Returns whether a log position is finite and may have been reached by `now`.
     pub(crate) fn is_plausible(&self, position: LogPosition, now: LocalInstant) -> bool {
         let max_offset = self.known_max_offset(now).unwrap_or_default();
         position.as_secs().is_finite() && position <= now.to_cluster(max_offset) + POSITION_ROUNDING
--- a/src/policy/cluster/clock/tests.rs
+++ b/src/policy/cluster/clock/tests.rs
@@ -52,17 +52,17 @@
     for sent_at in [100.0, 101.0] {
         observe_primary_response(&mut clock, offset, sent_at);
     }
-    let present = 102.0 + offset;
-    assert!(earliest(&clock, 102.0) <= cluster_at(present) && cluster_at(present) <= latest(&clock, 102.0));
+    let current = 102.0 + offset;
+    assert!(earliest(&clock, 102.0) <= cluster_at(current) && cluster_at(current) <= latest(&clock, 102.0));
     assert!(latest(&clock, 102.0) - earliest(&clock, 102.0) <= secs(ROUND_TRIP + ROUNDING_AND_DRIFT));
-    assert!((clock.estimate(at(102.0)) - cluster_at(present)).abs() <= secs(ROUND_TRIP));
+    assert!((clock.estimate(at(102.0)) - cluster_at(current)).abs() <= secs(ROUND_TRIP));
     assert!(
-        clock.is_plausible(cluster_at(present), at(102.0))
-            && !clock.is_plausible(cluster_at(present + 0.1), at(102.0))
+        clock.is_plausible(cluster_at(current), at(102.0))
+            && !clock.is_plausible(cluster_at(current + 0.1), at(102.0))
     );
 }
 
-/// A single position that contradicts the known bounds must not be taken for the present time.
+/// A single position that contradicts the known bounds must not be taken for the current time.
 #[test]
 fn a_contradiction_counts_once_a_second_answer_agrees() {
     let mut clock = ClusterClock::new(false);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_replica_bounds_the_present_from_below_only() {
+fn a_replica_bounds_the_current_time_from_below_only() {
     let mut clock = ClusterClock::new(false);
     clock.observe_past_time(cluster_at(99.0), at(100.0));
     clock.observe_past_time(cluster_at(90.0), at(101.0));
--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -62,7 +62,8 @@
         self.group(group)?.primary()
     }
 
-    /// Removes groups without endpoints and queued requests, since lists may keep naming new groups.
+    /// Removes groups without endpoints and queued requests, which would accumulate if lists keep naming new
+    /// groups.
     pub(crate) fn remove_empty_groups(&mut self) {
         self.groups.retain(|_, group| !group.is_empty());
     }
--- a/src/policy/cluster/group.rs
+++ b/src/policy/cluster/group.rs
@@ -88,13 +88,13 @@
         }
     }
 
-    /// Removes a write from the queue that is sent in order to find the primary.
+    /// Removes a search write from the queue and records it as the latest one.
     pub(crate) fn dequeue_search_write(&mut self, write: RequestKey) {
         self.queue.retain(|queued| *queued != write);
         self.search.record_write(write);
     }
 
-    /// Whether the group has neither endpoints nor queued requests.
+    /// Returns whether the group has neither endpoints nor queued requests.
     pub(crate) fn is_empty(&self) -> bool {
         self.members.is_empty() && self.queue.is_empty()
     }
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -15,7 +15,7 @@
 /// Upper limit of [`Cluster::shortest_staleness_bound`], and its value if no class has a staleness bound.
 const MAX_SHORTEST_STALENESS_BOUND: Span = Span::from_secs(1.0);
 
-/// The state of the cluster, as far as the pooler knows it.
+/// The state of the cluster as known to the pooler.
 pub(crate) struct Cluster {
     settings: Settings,
     now: LocalInstant,
@@ -51,7 +51,7 @@
     }
 
     /// Updates an endpoint and the endpoints' clock from a response. `sent_at` is when the attempt was sent,
-    /// if this is known.
+    /// if known.
     pub(crate) fn update_from_response(
         &mut self,
         endpoint: EndpointKey,
@@ -131,27 +131,28 @@
         self.endpoints[endpoint].load().in_flight_and_abandoned(self.now)
     }
 
-    /// Whether an endpoint is not ejected as an outlier.
+    /// Returns whether an endpoint is not ejected as an outlier.
     pub(crate) fn is_healthy(&self, endpoint: EndpointKey) -> bool {
         !self.endpoints[endpoint].health().is_ejected()
     }
 
-    /// Whether an endpoint is ejected and a trial request may be sent to it.
+    /// Returns whether an endpoint is ejected and a trial request may be sent to it.
     pub(crate) fn is_trial_due(&self, endpoint: EndpointKey) -> bool {
         self.endpoints[endpoint].health().is_trial_due(self.now)
     }
 
-    /// Whether an endpoint is in the pooler's own zone.
+    /// Returns whether an endpoint is in the pooler's own zone.
     pub(crate) fn is_local(&self, endpoint: EndpointKey) -> bool {
         self.endpoints[endpoint].listing().zone() == self.settings.zone
     }
 
-    /// Whether an endpoint is the known primary of its group.
+    /// Returns whether an endpoint is the known primary of its group.
     pub(crate) fn is_primary(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.primary(self.endpoints[endpoint].listing().group()) == Some(endpoint)
     }
 
-    /// Whether new requests may be sent to an endpoint. A drain is binding as soon as it is announced.
+    /// Returns whether new requests may be sent to an endpoint. A drain takes effect as soon as it is
+    /// announced.
     pub(crate) fn accepts_requests(&self, endpoint: EndpointKey) -> bool {
         let endpoint = &self.endpoints[endpoint];
         match endpoint.listing().status() {
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -15,7 +15,8 @@
 /// Share of a request's timeout for which it may wait without reaching an endpoint. The rest leaves its
 /// client time to retry elsewhere.
 const QUEUE_TIME_SHARE: f64 = 0.5;
-/// A timer that expires within this many ticks of the deadline is the one for the final answer.
+/// Largest time before the deadline, in ticks, at which an expired timer counts as the one for the final
+/// answer.
 const FINAL_TIMER_TOLERANCE_TICKS: f64 = 2.0;
 
 impl Policy {
@@ -141,7 +142,7 @@
         self.cluster.endpoint_mut(to).record_attempt_sent(now);
     }
 
-    /// Gives a request its final answer: a rejection if a retry by the client is safe, else a failure.
+    /// Gives up a request with a rejection if the client may safely retry it, otherwise with a failure.
     pub(crate) fn give_up(&mut self, key: RequestKey, reason: GiveUpReason) {
         if reason.is_load_shedding() && self.admission.record_shedding(self.cluster.now()) {
             self.actions.push(Action::Log(StateChange::SheddingLoad));
@@ -218,7 +219,7 @@
         self.dispatch(key);
     }
 
-    /// Records the silence of endpoints as failures, and replaces overdue attempts.
+    /// Records failures of unresponsive endpoints, and replaces overdue attempts.
     pub(crate) fn handle_overdue_attempts(&mut self) {
         for overdue in overdue::overdue_attempts(&self.requests, &self.admission, &self.cluster) {
             if overdue.cause.is_endpoint_unresponsive {
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt, a failed health check or a missing response shows of an endpoint.
+//! What the outcome of an attempt, a failed health check or a missing response shows about an endpoint.
 //!
 //! Latencies are compared with those of the class of the request: an attempt is late if it takes longer than
 //! the mean plus two deviations. An endpoint is ejected when its failure score reaches 2.0; the score decays
@@ -12,17 +12,17 @@
 //! | `Overloaded` | | mean latency | | |
 //! | `Error` | [`FAILURE_WEIGHT`] | | | |
 //! | `ConnectFailed`, refused | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] if it just answered | | | |
-//! | `ConnectFailed`, timed out | [`CONNECTION_FAILURE_WEIGHT`], unless the silence was counted | | | |
+//! | `ConnectFailed`, timed out | [`CONNECTION_FAILURE_WEIGHT`], unless counted as unresponsive | | | |
 //! | `ConnectionReset` | [`CONNECTION_RESET_WEIGHT`] | | | |
-//! | `Timeout`, late and not cancelled | [`FAILURE_WEIGHT`] if silent | mean + deviation | yes | |
+//! | `Timeout`, late and not cancelled | [`FAILURE_WEIGHT`] if unresponsive | mean + deviation | yes | |
 //! | any other `Timeout`; `Cancelled` | | mean + deviation | | |
 //! | `NotSent`, `InvalidRequest` | | | | |
-//! | silence | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] for a primary's first late attempt | | | |
+//! | no response | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] for 1 late attempt at a primary | | | |
 //! | failed health check, not for lack of capacity | [`FAILURE_WEIGHT`] | | | |
 //!
-//! An endpoint is silent as long as it has not responded to any attempt since the one in question was sent.
-//! Each response also carries the role and the log position of the endpoint. A refused connection may mean
-//! that the endpoint has no connections left, see
+//! An endpoint is unresponsive as long as it has not responded to any attempt since the one in question was
+//! sent. Each response also carries the role and the log position of the endpoint. A refused connection may
+//! mean that the endpoint has no connections left, see
 //! [`ConnectionShortage`](crate::policy::connection_shortage::ConnectionShortage).
 //!
 //! [`EndpointState::apply_evidence`] applies the evidence. A restart resets the health of the endpoint, see
@@ -47,13 +47,14 @@
 const CONNECTION_RESET_WEIGHT: f64 = 0.25 * EJECTION_SCORE;
 /// A connection that fails within this share of the connect timeout was refused.
 const REFUSAL_TIME_SHARE: f64 = 0.5;
-/// An attempt is late at this many deviations above the mean latency. A shorter timeout is no evidence.
+/// Number of deviations above the mean latency beyond which an attempt is late. A shorter timeout is no
+/// evidence.
 pub(crate) const LATE_DEVIATIONS: f64 = 2.0;
-/// Number of late attempts at which a silent primary is ejected. A primary cannot be replaced, and with a
-/// single late attempt only one connection may have failed.
+/// Number of late attempts at which an unresponsive primary is ejected. A primary cannot be replaced, and
+/// with a single late attempt only one connection may have failed.
 const LATE_ATTEMPTS_TO_EJECT_PRIMARY: u32 = 2;
 
-/// What an outcome shows of the health of its endpoint.
+/// What an outcome shows about the health of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum HealthEvidence {
     /// The outcome allows no conclusion about the health of the endpoint.
@@ -79,7 +80,7 @@
     pub(crate) class_mean: Span,
 }
 
-/// Everything that the outcome of an attempt shows of its endpoint.
+/// Everything that the outcome of an attempt shows about its endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Evidence {
     pub(crate) health: HealthEvidence,
@@ -101,7 +102,7 @@
     pub(crate) class_latency: &'a LatencyEstimator,
     pub(crate) settings: &'a Settings,
     pub(crate) now: LocalInstant,
-    /// The estimated present time on the endpoints' clock.
+    /// The estimated current time on the endpoints' clock.
     pub(crate) cluster_now: ClusterInstant,
 }
 
@@ -140,14 +141,14 @@
         }
     }
 
-    /// Whether the connection was refused immediately, rather than timing out.
+    /// Returns whether the connection was refused immediately, rather than timing out.
     pub(crate) fn is_connection_refused(&self) -> bool {
         let limit = self.settings.connect_timeout * REFUSAL_TIME_SHARE;
         self.result.outcome == Outcome::ConnectFailed && self.result.elapsed < limit
     }
 
-    /// Weighs a failure to connect. An immediate refusal means that the process is dead or that its
-    /// connections are exhausted.
+    /// Returns the evidence of a failure to connect. An immediate refusal means that the process is dead or
+    /// that its connections are exhausted.
     fn connect_failure_evidence(&self) -> HealthEvidence {
         let is_refused = self.is_connection_refused();
         // If the endpoint has just answered other requests, only this connection may have failed.
@@ -161,8 +162,8 @@
         HealthEvidence::ConnectFailed { weight: (!is_counted).then_some(weight) }
     }
 
-    /// Returns what a timeout shows. One that is shorter than the usual latency, such as that of a request
-    /// with little time left, says nothing about the health of the endpoint.
+    /// Returns the evidence of a timeout. A timeout that is shorter than the usual latency, such as that of a
+    /// request with little time left, says nothing about the health of the endpoint.
     fn timeout_evidence(&self) -> Evidence {
         let is_late = self.result.elapsed > self.class_latency.upper_bound(LATE_DEVIATIONS);
         let counts = is_late && !self.attempt.is_cancelled();
@@ -190,7 +191,7 @@
     }
 }
 
-/// Returns the failure weight of an endpoint that is silent while this many attempts are late.
+/// Returns the failure weight of an unresponsive endpoint with this number of late attempts.
 pub(crate) fn unresponsive_endpoint_weight(is_primary: bool, late_attempts: u32) -> f64 {
     if is_primary && late_attempts < LATE_ATTEMPTS_TO_EJECT_PRIMARY {
         CONNECTION_FAILURE_WEIGHT
--- a/src/policy/endpoint/evidence/tests.rs
+++ b/src/policy/endpoint/evidence/tests.rs
@@ -7,6 +7,7 @@
 /// When the attempt was sent, in seconds.
 const SENT_AT: f64 = 10.0;
 
+/// An attempt, and the state in which its outcome is evaluated.
 struct Fixture {
     endpoint: EndpointState,
     attempt: Attempt,
@@ -15,8 +16,8 @@
 }
 
 impl Fixture {
-    /// Creates a case with an endpoint that last responded at `answered_at`. The latency of the class has a
-    /// mean and a deviation of 50 ms.
+    /// Creates a fixture whose endpoint last responded at `answered_at`. The latency of the class has a mean
+    /// and a deviation of 50 ms.
     fn with_last_response_at(answered_at: f64) -> Fixture {
         let mut endpoint = EndpointState::new("db-1".into(), 0, 0);
         endpoint.record_attempt_ended(Outcome::Overloaded, at(answered_at));
--- a/src/policy/endpoint/listing.rs
+++ b/src/policy/endpoint/listing.rs
@@ -26,7 +26,7 @@
     zone: u32,
     group: u32,
     status: EndpointStatus,
-    /// Whether it was listed as draining. This is binding even where removal is only advisory.
+    /// Whether it was listed as draining. This applies even where removal is only advisory.
     drain_announced: bool,
     start: Option<ListedStart>,
     /// When it was last listed with a status other than removed.
@@ -102,7 +102,7 @@
         self.status
     }
 
-    /// Whether the list has announced that the endpoint drains.
+    /// Returns whether the list has announced that the endpoint is draining.
     pub(crate) fn is_drain_announced(&self) -> bool {
         self.drain_announced
     }
--- a/src/policy/endpoint/load.rs
+++ b/src/policy/endpoint/load.rs
@@ -47,7 +47,7 @@
         self.abandoned_until.retain(|until| *until > now);
     }
 
-    /// Counts an attempt that has ended as load until the given time.
+    /// Adds an attempt that has ended but counts as load until the given time.
     pub(crate) fn add_abandoned_attempt(&mut self, until: LocalInstant) {
         self.abandoned_until.push(until);
     }
@@ -75,8 +75,8 @@
     }
 
     /// Predicts the latency of one more request of a class whose mean latency at all endpoints is
-    /// `class_mean`. The prediction is proportional to the latency ratio of the endpoint, and to its present
-    /// load relative to its mean load where that is above 1.
+    /// `class_mean`. The prediction is proportional to the latency ratio of the endpoint, and to its current
+    /// load relative to its mean load if that is above 1.
     pub(crate) fn predict_latency(&self, class_mean: Span, now: LocalInstant) -> Span {
         let load_factor = (f64::from(self.in_flight_and_abandoned(now)) + 1.0) / (self.mean_in_flight + 1.0);
         class_mean * self.latency_ratio.max(MIN_PREDICTED_RATIO) * load_factor.max(1.0)
--- a/src/policy/endpoint/mod.rs
+++ b/src/policy/endpoint/mod.rs
@@ -26,7 +26,7 @@
     health: OutlierDetector,
     load: EndpointLoad,
     last_response_at: Option<LocalInstant>,
-    /// The latest send time among the attempts that the endpoint has served.
+    /// When the newest attempt that the endpoint has served was sent.
     newest_served_attempt_sent_at: Option<LocalInstant>,
 }
 
@@ -62,7 +62,7 @@
     }
 
     /// Returns the newest claim that this endpoint is the primary, made by the endpoint itself or by the
-    /// endpoint list. The roles in the list are taken to be `list_age` old.
+    /// endpoint list. The roles in the list are assumed to be `list_age` old.
     pub(crate) fn primary_claim(&self, list_age: Span) -> Option<PrimaryClaim> {
         let listed_at = self.listing.primary_since().map(|since| since - list_age);
         self.replication.primary_claim(listed_at)
@@ -164,18 +164,18 @@
         self.last_response_at
     }
 
-    /// Whether the endpoint has not responded at or after `time`.
+    /// Returns whether the endpoint has not responded at or after `time`.
     pub(crate) fn has_not_responded_since(&self, time: LocalInstant) -> bool {
         self.last_response_at.is_none_or(|answered_at| answered_at < time)
     }
 
-    /// Returns the latest send time among the attempts that the endpoint has served.
+    /// Returns when the newest attempt that the endpoint has served was sent.
     pub(crate) fn newest_served_attempt_sent_at(&self) -> Option<LocalInstant> {
         self.newest_served_attempt_sent_at
     }
 
-    /// Whether the endpoint was removed from the list, has no attempt in flight, and was last listed and
-    /// used before `horizon`.
+    /// Returns whether the endpoint was removed from the list, has no attempt in flight, and was last listed
+    /// and used before `horizon`.
     pub(crate) fn may_be_purged(&self, horizon: LocalInstant) -> bool {
         let last_used = self.load.last_sent_at().max(Some(self.listing.last_listed_at()));
         let is_idle = self.load.in_flight() == 0 && last_used < Some(horizon);
--- a/src/policy/endpoint/outlier_detection.rs
+++ b/src/policy/endpoint/outlier_detection.rs
@@ -98,7 +98,7 @@
         self.trial_in_flight = false;
     }
 
-    /// Clears score and ejection, since the endpoint has restarted.
+    /// Clears the score and the ejection, since the endpoint has restarted.
     pub(crate) fn reset(&mut self) {
         self.failure_score = 0.0;
         self.ejected_until = None;
@@ -117,7 +117,7 @@
         self.trial_in_flight
     }
 
-    /// Whether the endpoint is ejected and a trial request may be sent to it.
+    /// Returns whether the endpoint is ejected and a trial request may be sent to it.
     pub(crate) fn is_trial_due(&self, now: LocalInstant) -> bool {
         self.ejected_until.is_some_and(|until| now >= until) && !self.trial_in_flight
     }
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -11,8 +11,8 @@
     reported_at: LocalInstant,
 }
 
-/// A role that an endpoint has reported, and as of when. A claim without a date counts as older than any
-/// dated claim.
+/// A role that an endpoint has reported, and the date of this claim. A claim without a date counts as older
+/// than any dated claim.
 #[derive(Clone, Copy)]
 struct RoleClaim {
     role: Role,
@@ -22,12 +22,12 @@
 /// A claim that an endpoint is the primary. Of several claims, the newest one is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PrimaryClaim {
-    /// As of when the claim holds; `None` counts as older than any dated claim.
+    /// The date of the claim; `None` counts as older than any dated claim.
     at: Option<LocalInstant>,
 }
 
 impl PrimaryClaim {
-    /// Whether the claim is dated earlier than `other`.
+    /// Returns whether the claim is dated earlier than `other`.
     pub(crate) fn is_older_than(&self, other: &PrimaryClaim) -> bool {
         match (self.at, other.at) {
             (Some(own), Some(other)) => own < other,
@@ -48,9 +48,9 @@
 /// The age of a report that an endpoint made about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportAge {
-    /// The report came with a response and describes the present.
+    /// The report came with a response and is up to date.
     Current,
-    /// The report was written at some earlier time; its role is as of its log position.
+    /// The report was written at some earlier time; its role is dated by its log position.
     Unknown,
 }
 
@@ -59,7 +59,7 @@
 pub(crate) struct Replication {
     role: Option<RoleClaim>,
     reported: Option<ReportedPosition>,
-    /// The endpoint has rejected a read and is assumed to lag behind until then.
+    /// Until when the endpoint is assumed to lag behind, because it has rejected a read.
     stale_until: Option<LocalInstant>,
 }
 
@@ -74,7 +74,7 @@
         now: LocalInstant,
     ) {
         let position = report.log_position.filter(|position| clock.is_plausible(*position, now));
-        // A report with a position below the known one is older: the role in it may have been lost since.
+        // A report with a position below the known one is older: the endpoint may have lost its role since.
         let is_outdated = position.is_some_and(|position| Some(position) < self.log_position());
         if let Some(position) = position.filter(|position| Some(*position) > self.log_position()) {
             self.reported = Some(ReportedPosition { position, reported_at: now });
@@ -90,7 +90,7 @@
     }
 
     /// Returns the newest claim that the endpoint is the primary: its own, or that of an endpoint list whose
-    /// roles are as of `listed_at`.
+    /// roles are dated `listed_at`.
     pub(crate) fn primary_claim(&self, listed_at: Option<LocalInstant>) -> Option<PrimaryClaim> {
         let listed = listed_at.map(|listed_at| PrimaryClaim { at: Some(listed_at) });
         let Some(own) = self.role else { return listed };
@@ -107,7 +107,7 @@
         self.stale_until = Some(until);
     }
 
-    /// Whether the endpoint is assumed to lag behind because it has rejected a read.
+    /// Returns whether the endpoint is assumed to lag behind because it has rejected a read.
     pub(crate) fn is_marked_stale(&self, now: LocalInstant) -> bool {
         self.stale_until.is_some_and(|until| now < until)
     }
@@ -117,8 +117,8 @@
         self.reported.map(|reported| reported.position)
     }
 
-    /// Returns when the endpoint first reported its present log position. Later reports of the same position
-    /// do not change this time.
+    /// Returns when the endpoint first reported its log position. Later reports of the same position do not
+    /// change this time.
     pub(crate) fn log_position_reported_at(&self) -> Option<LocalInstant> {
         self.reported.map(|reported| reported.reported_at)
     }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,4 +1,4 @@
-//! Health of endpoints: how the policy evaluates health checks and silent endpoints.
+//! Health of endpoints: how the policy evaluates health checks and unresponsive endpoints.
 
 use crate::interface::{Action, EndpointId, LoadReport, Outcome};
 use crate::policy::cluster::EndpointKey;
@@ -26,8 +26,7 @@
         self.update_primary(self.cluster.endpoint(endpoint).listing().group());
     }
 
-    /// Records the silence of an endpoint as a failure. `late_attempts` is the number of attempts at the
-    /// endpoint that are late.
+    /// Records a failure of an unresponsive endpoint. `late_attempts` is the number of late attempts at it.
     pub(crate) fn record_unresponsive_endpoint(&mut self, endpoint: EndpointKey, late_attempts: u32) {
         let weight = evidence::unresponsive_endpoint_weight(self.cluster.is_primary(endpoint), late_attempts);
         self.record_failure(endpoint, weight);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,7 +7,7 @@
 //! |---|---|
 //! | Request life cycle | [`dispatch`] |
 //! | Whether and until when a request may be retried | [`retry`] |
-//! | The final answer of a request that is given up | [`give_up`] |
+//! | Giving up a request, and its final answer | [`give_up`] |
 //! | Routing of reads | [`read_routing`] |
 //! | Freshness of replicas | [`freshness`] |
 //! | Admission control: whether an endpoint can answer in time | [`admission`] |
@@ -74,7 +74,7 @@
     GiveUp(GiveUpReason),
 }
 
-/// The endpoint that a request is sent to, or the reason why it cannot be sent now.
+/// The endpoint that a request is sent to, or why it cannot be sent now.
 pub(crate) type RouteResult = Result<EndpointKey, RouteError>;
 
 /// The routing policy of one pooler: a deterministic state machine that turns events into actions.
@@ -192,12 +192,12 @@
         }
     }
 
-    /// Number of endpoints kept in memory, including recently removed ones.
+    /// Returns the number of endpoints kept in memory, including recently removed ones.
     pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slot_count()
     }
 
-    /// Number of groups kept in memory.
+    /// Returns the number of groups kept in memory.
     pub fn group_count(&self) -> usize {
         self.cluster.endpoints().group_count()
     }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -1,4 +1,4 @@
-//! Detection of overdue attempts, and of whether the endpoint is silent or the answer is lost.
+//! Detection of overdue attempts, and of whether the endpoint is unresponsive or the answer is lost.
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey};
@@ -6,12 +6,13 @@
 use crate::policy::request::{AttemptInFlight, RequestKey, RequestTable};
 use crate::settings::Idempotency;
 
-/// An attempt is overdue beyond this many deviations above the mean latency of its class ...
+/// Number of deviations above the mean latency of its class beyond which an attempt is overdue.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// ... or beyond this share of its latency objective, so that a retry can still meet the objective.
+/// Share of the latency objective beyond which an attempt is overdue in any case, so that a retry can still
+/// meet the objective.
 const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
-/// An endpoint is silent if it has sent no response since an attempt that is this many deviations above the
-/// mean.
+/// Number of deviations above the mean latency beyond which an attempt shows that its endpoint is
+/// unresponsive, if the endpoint has sent no response since the attempt was sent.
 const UNRESPONSIVE_DEVIATIONS: f64 = 6.0;
 
 /// Why an attempt is overdue. If neither applies, it is merely slow.
@@ -19,7 +20,7 @@
 pub(crate) struct OverdueCause {
     /// The endpoint has sent no response since the attempt was sent.
     pub(crate) is_endpoint_unresponsive: bool,
-    /// The answer is taken to be lost: the endpoint has answered attempts that were sent much later.
+    /// The answer is presumed lost: the endpoint has answered attempts that were sent much later.
     pub(crate) is_answer_lost: bool,
 }
 
@@ -27,15 +28,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverdueAttempt {
     pub(crate) request: RequestKey,
-    /// Its index among the attempts of the request.
+    /// The index of the attempt among those of the request.
     pub(crate) number: usize,
     pub(crate) endpoint: EndpointKey,
     pub(crate) cause: OverdueCause,
-    /// How many attempts at its endpoint are late, of those sent since the endpoint's last response.
+    /// Number of late attempts at the endpoint, of those sent since its last response.
     pub(crate) late_attempts: u32,
 }
 
-/// Returns all overdue attempts, except those whose endpoint's silence was already counted.
+/// Returns all overdue attempts, except those that were already counted as a failure of their endpoint.
 pub(crate) fn overdue_attempts(
     requests: &RequestTable,
     admission: &Admission,
@@ -52,7 +53,7 @@
     overdue.collect()
 }
 
-/// Counts the late attempts of each endpoint, of those sent since its last response.
+/// Returns the number of late attempts by endpoint key, of those sent since the endpoint's last response.
 fn count_late_attempts(requests: &RequestTable, admission: &Admission, cluster: &Cluster) -> Vec<u32> {
     requests.count_by_endpoint(cluster.endpoints().slot_count(), |in_flight| {
         let AttemptInFlight { request, attempt, .. } = in_flight;
--- a/src/policy/primary/search.rs
+++ b/src/policy/primary/search.rs
@@ -1,8 +1,7 @@
-//! The search for a lost primary: by health checks where the settings allow them, otherwise by a discovery
-//! write.
+//! The search for a lost primary: by health checks where the settings allow them, otherwise by search writes.
 //!
-//! A discovery write is a queued write that is sent to an endpoint which may be the primary. If it is not the
-//! primary, it rejects the write without executing it.
+//! A search write is a queued write that is sent to an endpoint that may be the primary. If the endpoint is
+//! not the primary, it rejects the write without executing it.
 
 use fastrand::Rng;
 
@@ -21,7 +20,7 @@
 pub(crate) struct PrimarySearch {
     /// When the next step is due; `None` while no search is in progress.
     next_step_at: Option<LocalInstant>,
-    /// The latest discovery write.
+    /// The latest search write.
     latest_write: Option<RequestKey>,
 }
 
@@ -44,29 +43,29 @@
         true
     }
 
-    /// Records that a discovery write was sent.
+    /// Records the latest search write.
     pub(crate) fn record_write(&mut self, write: RequestKey) {
         self.latest_write = Some(write);
     }
 }
 
-/// A discovery write and its target.
+/// A search write and its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SearchWrite {
     pub(crate) request: RequestKey,
     pub(crate) endpoint: EndpointKey,
 }
 
-/// Selects the next discovery write: the first suitable request of the queue, and as its target the endpoint
-/// with the latest log position. At most one discovery write of a group is in flight.
+/// Selects the next search write: the first suitable request of the queue, and as its target the endpoint
+/// with the latest log position. At most one search write of a group is in flight.
 pub(crate) fn next_search_write(
     group: &Group,
     requests: &RequestTable,
     slow_start: &SlowStart,
     cluster: &Cluster,
 ) -> Option<SearchWrite> {
-    let last_write = group.search().latest_write.and_then(|key| requests.get(key));
-    if last_write.is_some_and(PendingRequest::is_in_flight) {
+    let latest_write = group.search().latest_write.and_then(|key| requests.get(key));
+    if latest_write.is_some_and(PendingRequest::is_in_flight) {
         return None;
     }
     let queued = group.queue().iter().filter_map(|key| Some((*key, requests.get(*key)?)));
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -12,9 +12,9 @@
 //! An endpoint that was already tried for this request is not tried again. An ejected endpoint whose trial is
 //! due counts as healthy in the first three steps.
 //!
-//! If no endpoint is selected, the read is given up if there is no endpoint at all
-//! ([`GiveUpReason::NoEndpoint`]) or admission control refused one ([`GiveUpReason::NoCapacity`]); a refusal
-//! in step 2 does not count. Otherwise the read waits in the queue of its group.
+//! If no endpoint is selected, the read is given up if no usable endpoint is left to try
+//! ([`GiveUpReason::NoEndpoint`]) or if admission control refused one ([`GiveUpReason::NoCapacity`]); a
+//! refusal in step 2 does not count. Otherwise the read waits in the queue of its group.
 
 use fastrand::Rng;
 
@@ -37,8 +37,8 @@
 const SPILLOVER_MIN_DIFFERENCE: u32 = 3;
 /// Factor of the latency objective in admission control, for reads on a replica.
 const REPLICA_OBJECTIVE_FACTOR: f64 = 1.0;
-/// Factor of the latency objective in admission control, for reads on the primary: it must keep capacity for
-/// writes and strong reads.
+/// Factor of the latency objective in admission control, for reads on the primary, which must keep capacity
+/// for writes and strong reads.
 const PRIMARY_OBJECTIVE_FACTOR: f64 = 0.35;
 /// Maximum number of lagging replicas that are considered for a long read, because a long read delays the
 /// replication of each replica that it runs on.
@@ -113,7 +113,7 @@
             ReadRouter::primary_with_spare_capacity,
             ReadRouter::ejected_endpoint,
         ];
-        let mut no_route = if self.candidates.is_empty() {
+        let mut error = if self.candidates.is_empty() {
             RouteError::GiveUp(GiveUpReason::NoEndpoint)
         } else {
             RouteError::Queue
@@ -121,11 +121,11 @@
         for step in steps {
             match step(self) {
                 StepResult::Selected(endpoint) => return Ok(endpoint),
-                StepResult::NotAdmitted => no_route = RouteError::GiveUp(GiveUpReason::NoCapacity),
+                StepResult::NotAdmitted => error = RouteError::GiveUp(GiveUpReason::NoCapacity),
                 StepResult::NoCandidate => {}
             }
         }
-        Err(no_route)
+        Err(error)
     }
 
     fn preferred_replica(&self) -> StepResult {
@@ -232,8 +232,8 @@
         Some(remote_choice.unwrap_or(local_choice))
     }
 
-    /// Returns whether the load of an endpoint is so much higher than that of another one that a read should
-    /// be sent there instead.
+    /// Returns whether the load of an endpoint is so much higher than that of `other` that a read should be
+    /// sent to `other` instead.
     fn should_spill_over(&self, endpoint: EndpointKey, other: EndpointKey) -> bool {
         let load = self.cluster.load(endpoint);
         let other_load = self.cluster.load(other);
--- a/src/policy/request/attempt.rs
+++ b/src/policy/request/attempt.rs
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
     InFlight,
-    /// In flight; that its endpoint has stopped answering was recorded as a failure.
+    /// In flight, and counted as a failure because its endpoint is unresponsive.
     CountedAsFailure,
     /// Cancelled by the pooler; its result has not been reported yet.
     Cancelled,
-    /// Both of the above: cancelled, and the silence of its endpoint was recorded as a failure.
+    /// Both cancelled and counted as a failure.
     CancelledAndCounted,
     /// Ended without having reached its endpoint.
     NotSent,
@@ -22,7 +22,7 @@
     Answered,
 }
 
-/// A request sent to an endpoint once.
+/// One attempt of a request, at one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     endpoint: EndpointKey,
@@ -43,7 +43,7 @@
         self.sent_at
     }
 
-    /// Whether its result has not been reported yet; a cancelled attempt counts until then.
+    /// Returns whether the result has not been reported yet, even if the attempt was cancelled.
     pub(crate) fn is_in_flight(&self) -> bool {
         match self.state {
             AttemptState::InFlight
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Whether the pooler has cancelled it and its result has not been reported yet.
+    /// Returns whether the pooler has cancelled the attempt and its result has not been reported yet.
     pub(crate) fn is_cancelled(&self) -> bool {
         matches!(self.state, AttemptState::Cancelled | AttemptState::CancelledAndCounted)
     }
 
-    /// Whether it is in flight and the silence of its endpoint was already recorded as a failure.
+    /// Returns whether the attempt is in flight and was counted as a failure of its endpoint.
     pub(crate) fn is_counted_as_failure(&self) -> bool {
         matches!(self.state, AttemptState::CountedAsFailure | AttemptState::CancelledAndCounted)
     }
 
-    /// Records that the silence of its endpoint was counted as a failure, so that it is counted only once.
+    /// Marks the attempt as counted as a failure of its endpoint, so that it is counted only once.
     pub(crate) fn mark_counted_as_failure(&mut self) {
         self.state = match self.state {
             AttemptState::InFlight => AttemptState::CountedAsFailure,
@@ -73,7 +73,7 @@
         };
     }
 
-    /// Marks it as cancelled. It stays in flight until its result is reported.
+    /// Marks the attempt as cancelled. It stays in flight until its result is reported.
     pub(crate) fn cancel(&mut self) {
         self.state = match self.state {
             AttemptState::InFlight => AttemptState::Cancelled,
@@ -82,7 +82,7 @@
         };
     }
 
-    /// Records the outcome with which it ended.
+    /// Records the outcome with which the attempt ended.
     pub(crate) fn end(&mut self, outcome: Outcome) {
         self.state = match outcome {
             Outcome::ConnectFailed | Outcome::NotSent => AttemptState::NotSent,
@@ -99,7 +99,7 @@
         self.state == AttemptState::NotSent
     }
 
-    /// Whether it may have been executed, or may still be because it is in flight.
+    /// Returns whether the attempt may have been executed or is still in flight.
     pub(crate) fn may_be_executed(&self) -> bool {
         self.is_in_flight() || self.state == AttemptState::PossiblyExecuted
     }
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -25,11 +25,11 @@
 /// Properties of a request that are determined once, when it is received.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestContext {
-    /// When its latency objective expires.
+    /// When the latency objective expires.
     pub(crate) objective_expires_at: LocalInstant,
-    /// When its client stops waiting for an answer.
+    /// When the client stops waiting for an answer.
     pub(crate) deadline: LocalInstant,
-    /// When it is given up if no attempt has reached an endpoint by then.
+    /// When the request is given up if it has reached no endpoint by then.
     pub(crate) queue_deadline: LocalInstant,
     /// For a session read, the log position that an endpoint must have reached to serve it.
     pub(crate) session_token: RequiredPosition,
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnswerState {
     Pending,
-    /// The final answer was given, its stream has started, or the client has disconnected.
+    /// The final answer was given, a response has started, or the client has disconnected.
     Finished,
 }
 
@@ -86,12 +86,12 @@
         &self.id
     }
 
-    /// The index of its class in the settings.
+    /// Returns the index of the class in the settings.
     pub(crate) fn class(&self) -> usize {
         self.class
     }
 
-    /// The group that holds its data.
+    /// Returns the group that holds the data.
     pub(crate) fn group(&self) -> u32 {
         self.group
     }
@@ -104,7 +104,7 @@
         &self.context
     }
 
-    /// All attempts in the order in which they were sent, those that have ended included.
+    /// Returns all attempts in the order in which they were sent, including those that have ended.
     pub(crate) fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
@@ -132,30 +132,29 @@
         self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
     }
 
-    /// Whether any attempt is in flight.
+    /// Returns whether any attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether any attempt was sent to this endpoint, whatever its outcome.
+    /// Returns whether the request was sent to `endpoint` before, regardless of the outcome.
     pub(crate) fn has_tried(&self, endpoint: EndpointKey) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint() == endpoint)
     }
 
-    /// Whether every attempt so far has ended without reaching its endpoint; true without any attempt.
+    /// Returns whether all attempts have ended without reaching an endpoint; true before the first one.
     pub(crate) fn has_reached_no_endpoint(&self) -> bool {
         self.attempts.iter().all(Attempt::never_reached_endpoint)
     }
 
-    /// When the earliest attempt was sent that may have been executed, or may still be because it is in
-    /// flight.
+    /// Returns when the earliest attempt was sent that may have been executed or is still in flight.
     pub(crate) fn possibly_executed_since(&self) -> Option<LocalInstant> {
         let attempts = self.attempts.iter().filter(|attempt| attempt.may_be_executed());
         attempts.map(Attempt::sent_at).min()
     }
 
-    /// The time after which an answer is useless: the deadline, or the end of the latency objective if the
-    /// class gives late answers no weight.
+    /// Returns the time after which an answer is useless: the deadline, or the end of the latency objective
+    /// if the class gives late answers no weight.
     pub(crate) fn useful_until(&self, class: &RequestClass) -> LocalInstant {
         if class.late_weight > 0.0 {
             self.context.deadline
@@ -179,7 +178,7 @@
         self.answer = AnswerState::Finished;
     }
 
-    /// Whether the final answer was given or is no longer needed.
+    /// Returns whether the final answer was given or is no longer needed.
     pub(crate) fn is_finished(&self) -> bool {
         self.answer == AnswerState::Finished
     }
--- a/src/policy/request/table.rs
+++ b/src/policy/request/table.rs
@@ -26,7 +26,7 @@
     pub(crate) key: RequestKey,
     /// The class of its request.
     pub(crate) class: usize,
-    /// A copy of the attempt from just before its end.
+    /// A copy of the attempt from just before it ended.
     pub(crate) attempt: Attempt,
 }
 
@@ -47,7 +47,7 @@
         self.last_key
     }
 
-    /// Looks up the key of a pending request by its identifier.
+    /// Returns the key of the pending request with this identifier.
     pub(crate) fn key(&self, id: &RequestId) -> Option<RequestKey> {
         self.keys.get(id).copied()
     }
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Like [`finish`](Self::finish), for the request with this identifier, if it is pending.
+    /// Like [`finish`](Self::finish), for the pending request with this identifier, if any.
     pub(crate) fn finish_by_id(&mut self, id: &RequestId) {
         if let Some(key) = self.key(id) {
             self.finish(key);
         }
     }
 
-    /// All attempts in flight, in the order in which their requests arrived.
+    /// Returns all attempts in flight, in the order in which their requests arrived.
     pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = AttemptInFlight<'_>> {
         self.iter().flat_map(|(key, request)| {
             let attempts = request.attempts().iter().enumerate();
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Counts the matching attempts in flight by endpoint, for the endpoint keys below `endpoints`.
+    /// Returns the number of matching attempts in flight for each endpoint key below `endpoints`.
     pub(crate) fn count_by_endpoint(
         &self,
         endpoints: usize,
@@ -106,7 +106,7 @@
         counts
     }
 
-    /// The attempt that a result belongs to.
+    /// Returns the attempt that a result belongs to.
     pub(crate) fn attempt(&self, result: &AttemptResult) -> Option<&Attempt> {
         self.get(self.key(&result.id)?)?.attempts().get(result.attempt)
     }
@@ -120,7 +120,7 @@
         Some(EndedAttempt { key, class: request.class(), attempt })
     }
 
-    /// All pending requests, in order of arrival.
+    /// Returns all pending requests, in order of arrival.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (RequestKey, &PendingRequest)> {
         self.requests.iter().map(|(key, request)| (*key, request))
     }
--- a/src/policy/request/tests.rs
+++ b/src/policy/request/tests.rs
@@ -2,8 +2,8 @@
 use crate::interface::Event;
 use crate::time::tests::{at, secs};
 
-/// A request for group 0, received at 0 s, whose latency objective expires at 0.5 s and whose deadline is at
-/// 1 s.
+/// Creates a request for group 0, received at 0 s, whose latency objective expires at 0.5 s and whose
+/// deadline is at 1 s.
 pub(crate) fn pending(id: &str, class: usize) -> PendingRequest {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
     let context = RequestContext {
--- a/src/policy/retry/budget.rs
+++ b/src/policy/retry/budget.rs
@@ -31,7 +31,7 @@
         self.tokens.try_withdraw()
     }
 
-    /// Whether a token is available.
+    /// Returns whether a token is available.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens.has_token()
     }
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -20,10 +20,10 @@
 //! end of the window minus [`MAX_PROCESS_PAUSE`], whichever is earlier. An answer is useful until the
 //! deadline, or until the latency objective expires if the class gives late answers no weight.
 //!
-//! [`next_attempt`] is checked again whenever an attempt is sent. If one of the first two conditions fails,
-//! the request is given up even while its other attempt (of a hedged request) is in flight; the remaining
-//! conditions are only checked once no attempt is in flight. A withdrawn token is not returned if a later
-//! condition forbids the retry. Hedging always costs a token, see [`replacement`].
+//! [`next_attempt`] is checked again whenever an attempt is sent. If one of the first two conditions does not
+//! hold, a hedged request is given up even if its other attempt is still in flight; the remaining conditions
+//! are only checked once no attempt is in flight. A withdrawn token is not returned if a later condition
+//! forbids the retry. Hedging always costs a token, see [`replacement`].
 
 mod budget;
 
@@ -39,7 +39,7 @@
 
 /// How long the process may be suspended between a decision and the resulting network write.
 const MAX_PROCESS_PAUSE: Span = Span::from_secs(0.15);
-/// How many attempts of a request may be replaced when overdue, counted from the first.
+/// Number of attempts of a request, counted from the first, that may be replaced when overdue.
 const MAX_REPLACED_ATTEMPTS: usize = 3;
 
 /// Why a request is denied another attempt.
@@ -120,8 +120,8 @@
     Ok(())
 }
 
-/// Whether the final answer is due: one tick before the deadline, after which no attempt could be answered in
-/// time.
+/// Returns whether the final answer is due: one tick before the deadline, after which no attempt could be
+/// answered in time.
 fn is_final_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
     cluster.now() + cluster.settings().tick >= request.context().deadline
 }
@@ -143,8 +143,8 @@
     Ok(())
 }
 
-/// Whether a queued request may be sent to an endpoint that might be the primary, to find out whether it is.
-/// This takes a write that was not executed: a replica rejects writes without executing them.
+/// Returns whether a queued request may be sent as a search write (see [`crate::policy::primary::search`]).
+/// It must be a write that was not executed; a replica rejects writes without executing them.
 pub(crate) fn may_be_search_write(request: &PendingRequest, cluster: &Cluster) -> bool {
     let is_write = cluster.class(request.class()).is_write();
     let is_unexecuted = request.possibly_executed_since().is_none() && next_attempt(request, cluster).is_ok();
@@ -185,7 +185,7 @@
     may_cancel.then_some(Replacement::CancelAndRetry)
 }
 
-/// Whether a replacement could be answered in time. Only a lost answer is replaced after the latency
+/// Returns whether a replacement could be answered in time. Only a lost answer is replaced after the latency
 /// objective has expired, since any other answer may still arrive.
 fn has_time_to_replace(
     request: &PendingRequest,
@@ -202,12 +202,13 @@
     useful_until - cluster.now() > mean_latency
 }
 
-/// Whether requests of this class may be hedged. Strong reads are not, since only the primary serves them.
+/// Returns whether requests of this class may be hedged. Strong reads are not, since only the primary serves
+/// them.
 fn allows_hedging(class: &RequestClass, settings: &Settings) -> bool {
     settings.hedging && class.consistency != Consistency::Strong
 }
 
-/// Whether it is safe for the client to retry a request that the pooler has given up.
+/// Returns whether the client may safely retry a request that the pooler has given up.
 pub(crate) fn is_client_retry_safe(request: &PendingRequest, class: &RequestClass) -> bool {
     let is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
--- a/src/policy/retry/tests.rs
+++ b/src/policy/retry/tests.rs
@@ -34,7 +34,8 @@
     cluster
 }
 
-/// A request whose only attempt was sent at 0.1 s; it ended with the outcome, or is in flight without one.
+/// Creates a request whose only attempt was sent at 0.1 s and is in flight, or has ended if there is an
+/// `outcome`.
 fn attempted(class: usize, outcome: Option<Outcome>) -> PendingRequest {
     let mut request = pending("a", class);
     request.add_attempt(Attempt::new(0, at(0.1)));
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -37,8 +37,8 @@
         self.unknown_writes_until = Some(now);
     }
 
-    /// The log position that a request must see if it is a session read. `pending` holds the requests in
-    /// progress.
+    /// Returns the log position that a session read requires; [`RequiredPosition::Any`] for other requests.
+    /// `pending` holds the requests in progress.
     pub(crate) fn token(
         &self,
         request: &Request,
@@ -63,7 +63,7 @@
     }
 
     /// Records the commit of a write that may have been executed. If its log position is not known, the
-    /// present is recorded, since the commit cannot be later.
+    /// current time is recorded, since the commit cannot be later.
     pub(crate) fn record_write(
         &mut self,
         request: &PendingRequest,
@@ -78,7 +78,7 @@
         let latest = freshness::position_at(cluster, cluster.now());
         match reported_commit(result, cluster).map_or(latest, RequiredPosition::AtLeast) {
             RequiredPosition::AtLeast(commit) => self.commits.record(session.clone(), commit),
-            // The endpoints' clock is not known yet, so that the present has no log position.
+            // The endpoints' clock is not known yet, so the current time has no log position.
             RequiredPosition::Any | RequiredPosition::Unknown => {
                 self.unknown_writes_until = Some(cluster.now());
             }
@@ -87,7 +87,7 @@
     }
 }
 
-/// The session token that the client sent with a read, as a time on the pooler's clock.
+/// Returns the session token that the client sent with a read, as a time on the pooler's clock.
 fn carried_token(request: &Request, now: LocalInstant) -> RequiredPosition {
     let written_at = request.session_token_age.map(|age| now - age);
     RequiredPosition::from(written_at.map(|instant| instant.to_cluster(Span::ZERO)))
@@ -100,8 +100,8 @@
     })
 }
 
-/// The commit position that an endpoint reported for a write, if the write succeeded and the position is
-/// plausible.
+/// Returns the commit position that an endpoint reported for a write, if the write succeeded and the position
+/// is plausible.
 fn reported_commit(result: &AttemptResult, cluster: &Cluster) -> Option<LogPosition> {
     let position = result.log_position.filter(|_| result.outcome == Outcome::Success)?;
     cluster.clock().is_plausible(position, cluster.now()).then_some(position)
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -1,13 +1,13 @@
 //! Slow start: limits the traffic of endpoints that are warming up.
 //!
 //! An endpoint that has just started has only a share of its full capacity. It collapses if its load exceeds
-//! a multiple of its present capacity (the overload limit) throughout the overload window. Poolers do not
+//! a multiple of its current capacity (the overload limit) throughout the overload window. Poolers do not
 //! communicate, so each one limits its own traffic in two ways:
 //!
 //! - Sampling: each request has a random number that is drawn once, and only requests whose number is below a
 //!   share may be sent to the endpoint. This bounds the combined traffic even of hundreds of poolers.
 //! - A budget: a token bucket per endpoint, whose refill rate is the baseline traffic that this pooler would
-//!   send to the endpoint, times the overload limit and the present capacity. It also holds in a traffic
+//!   send to the endpoint, times the overload limit and the current capacity. It also applies in a traffic
 //!   burst, in which the sampled share alone would be too much.
 
 mod event_rate;
@@ -140,7 +140,7 @@
     }
 
     /// Returns the share of the reads of a group that an endpoint in slow start may get, in multiples of its
-    /// present capacity: a part of its overload limit, divided by the capacity of the group and by the read
+    /// current capacity: a part of its overload limit, divided by the capacity of the group and by the read
     /// fraction.
     pub(crate) fn read_share(&self, group: &Group, cluster: &Cluster) -> f64 {
         let Some(limit) = cluster.settings().overload_limit else { return MAX_READ_SHARE };
@@ -164,7 +164,7 @@
 
     /// Returns the budget of an endpoint, refilled up to now; [`charge_budget`](Self::charge_budget) stores
     /// it. The refill rate is this pooler's baseline traffic for the endpoint, times a share of the overload
-    /// limit and the present capacity.
+    /// limit and the current capacity.
     fn budget(&self, endpoint: EndpointKey, cluster: &Cluster) -> TokenBucket {
         let settings = cluster.settings();
         let limit = settings.overload_limit.map_or(MAX_OVERLOAD_LIMIT, |limit| limit.min(MAX_OVERLOAD_LIMIT));
@@ -189,7 +189,7 @@
     }
 }
 
-/// Returns the present capacity of an endpoint, as a share of its full capacity.
+/// Returns the current capacity of an endpoint, as a share of its full capacity.
 fn capacity(endpoint: EndpointKey, cluster: &Cluster) -> f64 {
     let uptime = cluster.endpoint(endpoint).listing().min_uptime(cluster.clock(), cluster.now());
     uptime.map_or(1.0, |uptime| cluster.settings().capacity_at_uptime(uptime))
