--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -20,9 +20,9 @@
 //! | no response | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] for 1 late attempt at a primary | | | |
 //! | failed health check, not for lack of capacity | [`FAILURE_WEIGHT`] | | | |
 //!
-//! An endpoint is unresponsive as long as it has not responded to any attempt since the one in question was
-//! sent. Each response also carries the role and the log position of the endpoint. A refused connection may
-//! mean that the endpoint has no connections left, see
+//! An endpoint is unresponsive as long as it has sent no response since the attempt was sent. Each response
+//! also carries the role and the log position of the endpoint. A refused connection may mean that the endpoint
+//! has no connections left, see
 //! [`ConnectionShortage`](crate::policy::connection_shortage::ConnectionShortage).
 //!
 //! [`EndpointState::apply_evidence`] applies the evidence. A restart resets the health of the endpoint, see
@@ -191,7 +191,7 @@
     }
 }
 
-/// Returns the failure weight of an unresponsive endpoint with this number of late attempts.
+/// Returns the failure weight of an unresponsive endpoint at which `late_attempts` attempts are late.
 pub(crate) fn unresponsive_endpoint_weight(is_primary: bool, late_attempts: u32) -> f64 {
     if is_primary && late_attempts < LATE_ATTEMPTS_TO_EJECT_PRIMARY {
         CONNECTION_FAILURE_WEIGHT
--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -1,6 +1,6 @@
 //! Giving up: why no further attempt of a request is made, and which final answer the request gets.
 //!
-//! A request is rejected if a retry by its client is safe ([`retry::is_client_retry_safe`]), with a
+//! A request is rejected if its client may safely retry it ([`retry::is_client_retry_safe`]), with a
 //! Retry-After if the settings allow one. Otherwise it fails, since it may have been executed. The caller
 //! states the reason. The reason is neither logged nor counted, except that load shedding is logged.
 //!
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -6,7 +6,7 @@
 //! | Condition | Function | Reason |
 //! | --- | --- | --- |
 //! | The primary did not reject the attempt as overloaded | [`charge_retry`] | `PrimaryOverloaded` |
-//! | It provably did not execute, or the budget has a token | [`charge_retry`] | `RetryBudgetExhausted` |
+//! | It was provably not executed, or the budget has a token | [`charge_retry`] | `RetryBudgetExhausted` |
 //! | Fewer attempts are in flight than 1, or 2 with hedging | [`next_attempt`] | `TooManyInFlight` |
 //! | Fewer attempts were made than `max_attempts` | [`next_attempt`] | `AttemptsExhausted` |
 //! | No attempt may have been executed, or a repeat is harmless | [`next_attempt`] | `UnsafeRepeat` |
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -23,7 +23,7 @@
 /// Age at which a recorded write is evicted, far longer than the lag of any replica.
 const MAX_WRITE_AGE: Span = Span::from_secs(60.0);
 
-/// Determines the session tokens of reads, and records the writes of sessions for that.
+/// Determines the session tokens of reads, and records the writes of sessions for this purpose.
 #[derive(Default)]
 pub(crate) struct SessionTracker {
     commits: SessionTable,
