--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -38,8 +38,8 @@
         self.dispatch(key);
     }
 
-    /// Counts a request in the traffic of its group, and adds its deposits to the budgets of retries and health
-    /// checks.
+    /// Counts a request in the traffic of its group, and adds its deposits to the retry budget and the budget
+    /// of health checks.
     fn record_request(&mut self, request: &Request) {
         let now = self.cluster.now();
         let needs_primary = self.cluster.class(request.class).needs_primary();
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -21,8 +21,8 @@
 //! | failed health check, not for lack of capacity | [`FAILURE_WEIGHT`] | | | |
 //!
 //! An endpoint is unresponsive as long as it has sent no response since the attempt was sent. Each response
-//! also carries the role and the log position of the endpoint. A refused connection may mean that the endpoint
-//! has no connections left, see
+//! also carries the role and the log position of the endpoint. A refused connection may mean that the
+//! endpoint has no connections left, see
 //! [`ConnectionShortage`](crate::policy::connection_shortage::ConnectionShortage).
 //!
 //! [`EndpointState::apply_evidence`] applies the evidence. A restart resets the health of the endpoint, see
