--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -166,14 +166,14 @@
     /// request with little time left, says nothing about the health of the endpoint.
     fn timeout_evidence(&self) -> Evidence {
         let is_late = self.result.elapsed > self.class_latency.upper_bound(LATE_DEVIATIONS);
-        let counts = is_late && !self.attempt.is_cancelled();
+        let is_conclusive = is_late && !self.attempt.is_cancelled();
         // An endpoint that still answers other requests is overloaded; ejecting it would overload the others.
         let is_unresponsive = self.endpoint.has_not_responded_since(self.attempt.sent_at());
         let failed = HealthEvidence::Failed { weight: FAILURE_WEIGHT };
         Evidence {
-            health: if counts && is_unresponsive { failed } else { HealthEvidence::Inconclusive },
+            health: if is_conclusive && is_unresponsive { failed } else { HealthEvidence::Inconclusive },
             counts_as_load_until: Some(self.abandoned_until()),
-            latency: counts.then(|| self.latency_sample()),
+            latency: is_conclusive.then(|| self.latency_sample()),
             stale_until: None,
         }
     }
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -11,8 +11,8 @@
     reported_at: LocalInstant,
 }
 
-/// A role that an endpoint has reported, and the date of this claim. A claim without a date counts as older
-/// than any dated claim.
+/// A role that an endpoint has reported, and its date. A claim without a date counts as older than any dated
+/// claim.
 #[derive(Clone, Copy)]
 struct RoleClaim {
     role: Role,
--- a/src/policy/request/attempt.rs
+++ b/src/policy/request/attempt.rs
@@ -16,7 +16,7 @@
     CancelledAndCounted,
     /// Ended without having reached its endpoint.
     NotSent,
-    /// Ended without proof whether the request was executed.
+    /// Ended; the request may have been executed.
     PossiblyExecuted,
     /// Ended with an answer that tells whether the request was executed.
     Answered,
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -13,7 +13,7 @@
 pub(crate) use attempt::Attempt;
 pub(crate) use table::{AttemptInFlight, EndedAttempt, RequestKey, RequestTable};
 
-/// Whether a request is within the quota of its tenant, as of its receipt.
+/// Whether a request was within the quota of its tenant when it was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaStatus {
     /// Within the quota, or the tenant has none.
@@ -34,8 +34,8 @@
     /// For a session read, the log position that an endpoint must have reached to serve it.
     pub(crate) session_token: RequiredPosition,
     pub(crate) quota_status: QuotaStatus,
-    /// Random number from 0 to 1, drawn once: a rule that admits a share of all requests admits those below
-    /// that share.
+    /// Random number from 0 to 1. A rule that admits only a share of all requests admits those whose number is
+    /// below that share.
     pub(crate) sampling_value: f64,
 }
 
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Returns whether slow start admits a read to an endpoint. An endpoint in slow start gets a request at
-    /// most once. `share` is the [`read_share`](Self::read_share) of its group.
+    /// Returns whether slow start admits a read to an endpoint. An endpoint in slow start gets the same
+    /// request at most once. `share` is the [`read_share`](Self::read_share) of its group.
     pub(crate) fn admits_read(
         &self,
         request: &PendingRequest,
@@ -115,7 +115,7 @@
     }
 
     /// Returns whether slow start admits a request that needs the primary to an endpoint. An endpoint in slow
-    /// start gets a request at most once.
+    /// start gets the same request at most once.
     pub(crate) fn admits_primary_request(
         &self,
         request: &PendingRequest,
