--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -150,7 +150,7 @@
     }
 
     /// Converts a time on the endpoints' clock to the pooler's clock, by the offset as estimated at `now`.
-    pub(crate) fn to_local(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
+    pub(crate) fn to_local_instant(self, time: ClusterInstant, now: LocalInstant) -> LocalInstant {
         time.to_local_instant(self.estimated_offset(now))
     }
 
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -82,7 +82,7 @@
         let Some(role) = report.role.filter(|role| *role == Role::Replica || !is_outdated) else { return };
         let at = match age {
             ReportAge::Current => Some(now),
-            ReportAge::Unknown => position.map(|position| clock.to_local(position, now)),
+            ReportAge::Unknown => position.map(|position| clock.to_local_instant(position, now)),
         };
         if self.role.is_none_or(|known| at >= known.at) {
             self.role = Some(RoleClaim { role, at });
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -261,8 +261,8 @@
     }
 
     /// Returns the replica for a long read. Long reads are concentrated on the replica with the largest lag,
-    /// and spill over from a busy replica to the one with the next largest lag, because a replica without load
-    /// may be catching up.
+    /// and spill over from a busy replica to the one with the next largest lag, because a replica without
+    /// load may be catching up.
     fn choose_for_long_read(&self) -> EndpointKey {
         let mut by_position = self.preferred_replicas.clone();
         by_position.sort_by_key(|replica| self.cluster.endpoint(*replica).replication().log_position());
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -34,7 +34,7 @@
     /// For a session read, the log position that an endpoint must have reached to serve it.
     pub(crate) session_token: RequiredPosition,
     pub(crate) quota_status: QuotaStatus,
-    /// Random number from 0 to 1. A rule that admits only a share of all requests admits those whose number is
+    /// Random number from 0 to 1. A rule that admits a share of all requests admits those whose number is
     /// below that share.
     pub(crate) sampling_value: f64,
 }
