--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -62,7 +62,8 @@
         self.group(group)?.primary()
     }
 
-    /// Removes groups without endpoints and queued requests, since lists may keep naming new groups.
+    /// Removes groups without endpoints and queued requests, which would accumulate if lists keep naming new
+    /// groups.
     pub(crate) fn remove_empty_groups(&mut self) {
         self.groups.retain(|_, group| !group.is_empty());
     }
@@ -133,7 +134,7 @@
         let Some(group) = self.groups.get_mut(&group) else { return };
         let (slots, free_slots, by_id) = (&self.slots, &mut self.free_slots, &mut self.by_id);
         group.retain_members(|&endpoint| {
-            let is_purged = slots[endpoint].is_removed_since(horizon);
+            let is_purged = slots[endpoint].may_be_purged(horizon);
             if is_purged {
                 by_id.remove(slots[endpoint].id());
                 free_slots.push(endpoint);
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -35,20 +35,20 @@
         match consistency {
             Consistency::Eventual => RequiredPosition::Any,
             Consistency::Session => session_token,
-            Consistency::BoundedStaleness(bound) => position_at(cluster, cluster.now()).lowered_by(bound),
+            Consistency::BoundedStaleness(bound) => position_at(cluster, cluster.now()).relaxed_by(bound),
             Consistency::Write | Consistency::Strong => RequiredPosition::Unknown,
         }
     }
 
-    fn lowered_by(self, bound: Span) -> RequiredPosition {
+    fn relaxed_by(self, bound: Span) -> RequiredPosition {
         match self {
             RequiredPosition::AtLeast(position) => RequiredPosition::AtLeast(position - bound),
             other => other,
         }
     }
 
-    /// Whether an endpoint whose known position is `position` meets the requirement.
-    pub(crate) fn is_reached_at(self, position: Option<LogPosition>) -> bool {
+    /// Returns whether an endpoint whose known position is `position` meets the requirement.
+    pub(crate) fn is_met_by(self, position: Option<LogPosition>) -> bool {
         match self {
             RequiredPosition::Any => true,
             RequiredPosition::AtLeast(required) => position.is_some_and(|position| position >= required),
@@ -84,13 +84,13 @@
     Stale,
 }
 
-/// Returns whether an endpoint has reached the required position.
+/// Returns the freshness of an endpoint for a read that requires the given position.
 pub(crate) fn freshness(
     endpoint: &EndpointState,
     required: RequiredPosition,
     cluster: &Cluster,
 ) -> Freshness {
-    if required.is_reached_at(endpoint.replication().log_position()) {
+    if required.is_met_by(endpoint.replication().log_position()) {
         return Freshness::Fresh;
     }
     let rejects_stale_reads = cluster.settings().stale_reads.rejects_stale_reads();
@@ -104,20 +104,22 @@
     }
 }
 
-/// Whether an endpoint may have reached a position: its position is unknown, its lag at the last report would
-/// still allow it, or more time than this lag has passed since the report, so that it may have caught up.
+/// Returns whether an endpoint may have reached a position: its position is unknown, its lag at the last
+/// report would still allow it, or more time than this lag has passed since the report, so that it may have
+/// caught up.
 fn may_have_reached(endpoint: &EndpointState, required: RequiredPosition, cluster: &Cluster) -> bool {
-    let (Some(lag), Some(reported_at)) =
-        (endpoint.replication().lag(cluster.clock()), endpoint.replication().reported_at())
-    else {
+    let (Some(lag), Some(reported_at)) = (
+        endpoint.replication().lag_at_report(cluster.clock()),
+        endpoint.replication().log_position_reported_at(),
+    ) else {
         return true;
     };
     let may_have_caught_up = cluster.now() - reported_at > lag;
-    required.is_reached_at(Some(cluster.estimated_now() - lag)) || may_have_caught_up
+    required.is_met_by(Some(cluster.estimated_now() - lag)) || may_have_caught_up
 }
 
-/// Whether an endpoint may lag too far behind for any bounded read, according to its reported position, or
-/// has not reported any position.
+/// Returns whether an endpoint may lag too far behind for any bounded read, according to its reported
+/// position, or has not reported any position.
 pub(crate) fn may_be_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let required = cluster.estimated_now() - cluster.shortest_staleness_bound();
     endpoint.replication().log_position().is_none_or(|position| position < required)
@@ -136,13 +138,14 @@
     now + lag.clamp(Span::ZERO, max_lag).max(settings.connect_timeout)
 }
 
-/// Whether the log position of an endpoint should be refreshed by a health check: the endpoint is in the
-/// pooler's own zone and its position will soon be too old for reads, or the position is unknown and
+/// Returns whether the log position of an endpoint should be refreshed by a health check: the endpoint is in
+/// the pooler's own zone and its position will soon be too old for reads, or the position is unknown and
 /// endpoints serve stale reads, so that no read may be sent to learn it.
-pub(crate) fn needs_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
+pub(crate) fn needs_position_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness_bound() * REFRESH_AGE_SHARE;
     let is_local = endpoint.listing().zone() == cluster.settings().zone;
-    let is_old = endpoint.replication().reported_at().is_none_or(|at| cluster.now() - at > max_age);
+    let is_old =
+        endpoint.replication().log_position_reported_at().is_none_or(|at| cluster.now() - at > max_age);
     let is_unknown = endpoint.replication().log_position().is_none()
         && !cluster.settings().stale_reads.rejects_stale_reads();
     is_local && is_old || is_unknown
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,7 +7,7 @@
 //! |---|---|
 //! | Request life cycle | [`dispatch`] |
 //! | Whether and until when a request may be retried | [`retry`] |
-//! | The final answer of a request that is given up | [`give_up`] |
+//! | Giving up a request, and its final answer | [`give_up`] |
 //! | Routing of reads | [`read_routing`] |
 //! | Freshness of replicas | [`freshness`] |
 //! | Admission control: whether an endpoint can answer in time | [`admission`] |
@@ -67,15 +67,15 @@
 
 /// Why a request cannot be routed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoRoute {
+pub(crate) enum RouteError {
     /// The request has to wait in the queue of its group.
     Queue,
     /// The request has to be given up.
     GiveUp(GiveUpReason),
 }
 
-/// The endpoint that a request is sent to, or the reason why it cannot be sent now.
-pub(crate) type Route = Result<EndpointKey, NoRoute>;
+/// The endpoint that a request is sent to, or why it cannot be sent now.
+pub(crate) type RouteResult = Result<EndpointKey, RouteError>;
 
 /// The routing policy of one pooler: a deterministic state machine that turns events into actions.
 pub struct Policy {
@@ -149,7 +149,7 @@
     /// Does the periodic work that no event triggers: restarts the watch, handles overdue attempts, removes
     /// expired state, searches for lost primaries and dispatches queued requests.
     fn run_housekeeping(&mut self) {
-        self.housekeeping.timer_expired();
+        self.housekeeping.record_timer_expired();
         let now = self.cluster.now();
         if self.watch.start_if_due(self.cluster.settings(), now) {
             self.actions.push(Action::Watch);
@@ -182,22 +182,22 @@
         }
         let started = self.cluster.apply_list_update(kind, entries);
         for &endpoint in &started.added {
-            self.health_checks.endpoint_added(endpoint);
+            self.health_checks.reset(endpoint);
         }
         for &endpoint in started.added.iter().chain(&started.restarted) {
-            self.slow_start.endpoint_started(endpoint);
+            self.slow_start.reset_budget(endpoint);
         }
         for group in self.cluster.endpoints().group_ids() {
             self.update_primary(group);
         }
     }
 
-    /// Number of endpoints kept in memory, including recently removed ones.
+    /// Returns the number of endpoints kept in memory, including recently removed ones.
     pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slot_count()
     }
 
-    /// Number of groups kept in memory.
+    /// Returns the number of groups kept in memory.
     pub fn group_count(&self) -> usize {
         self.cluster.endpoints().group_count()
     }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -1,4 +1,4 @@
-//! Detection of overdue attempts, and of whether the endpoint is silent or the answer is lost.
+//! Detection of overdue attempts, and of whether the endpoint is unresponsive or the answer is lost.
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey};
@@ -6,20 +6,21 @@
 use crate::policy::request::{AttemptInFlight, RequestKey, RequestTable};
 use crate::settings::Idempotency;
 
-/// An attempt is overdue beyond this many deviations above the mean latency of its class ...
+/// Number of deviations above the mean latency of its class beyond which an attempt is overdue.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
-/// ... or beyond this share of its latency objective, so that a retry can still meet the objective.
+/// Share of the latency objective beyond which an attempt is overdue in any case, so that a retry can still
+/// meet the objective.
 const OVERDUE_OBJECTIVE_SHARE: f64 = 0.6;
-/// An endpoint is silent if it has sent no response since an attempt that is this many deviations above the
-/// mean.
-const SILENT_DEVIATIONS: f64 = 6.0;
+/// Number of deviations above the mean latency beyond which an attempt shows that its endpoint is
+/// unresponsive, if the endpoint has sent no response since the attempt was sent.
+const UNRESPONSIVE_DEVIATIONS: f64 = 6.0;
 
 /// Why an attempt is overdue. If neither applies, it is merely slow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OverdueCause {
     /// The endpoint has sent no response since the attempt was sent.
-    pub(crate) is_endpoint_silent: bool,
-    /// The answer is taken to be lost: the endpoint has answered attempts that were sent much later.
+    pub(crate) is_endpoint_unresponsive: bool,
+    /// The answer is presumed lost: the endpoint has answered attempts that were sent much later.
     pub(crate) is_answer_lost: bool,
 }
 
@@ -27,15 +28,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OverdueAttempt {
     pub(crate) request: RequestKey,
-    /// Its index among the attempts of the request.
+    /// The index of the attempt among those of the request.
     pub(crate) number: usize,
     pub(crate) endpoint: EndpointKey,
     pub(crate) cause: OverdueCause,
-    /// How many attempts at its endpoint are late, of those sent since the endpoint's last response.
+    /// Number of late attempts at the endpoint, of those sent since its last response.
     pub(crate) late_attempts: u32,
 }
 
-/// Returns all overdue attempts, except those whose endpoint's silence was already counted.
+/// Returns all overdue attempts, except those that were already counted as a failure of their endpoint.
 pub(crate) fn overdue_attempts(
     requests: &RequestTable,
     admission: &Admission,
@@ -52,13 +53,13 @@
     overdue.collect()
 }
 
-/// Counts the late attempts of each endpoint, of those sent since its last response.
+/// Returns the number of late attempts by endpoint key, of those sent since the endpoint's last response.
 fn count_late_attempts(requests: &RequestTable, admission: &Admission, cluster: &Cluster) -> Vec<u32> {
     requests.count_by_endpoint(cluster.endpoints().slot_count(), |in_flight| {
         let AttemptInFlight { request, attempt, .. } = in_flight;
         let late_after = admission.class_latency(request.class()).upper_bound(LATE_DEVIATIONS);
         let is_late = cluster.now() - attempt.sent_at() > late_after;
-        is_late && cluster.endpoint(attempt.endpoint()).is_silent_since(attempt.sent_at())
+        is_late && cluster.endpoint(attempt.endpoint()).has_not_responded_since(attempt.sent_at())
     })
 }
 
@@ -72,17 +73,19 @@
     let latency = admission.class_latency(request.class());
     let age = cluster.now() - attempt.sent_at();
     let objective = class.latency_objective * OVERDUE_OBJECTIVE_SHARE;
-    if attempt.is_silence_counted() || age <= latency.upper_bound(OVERDUE_DEVIATIONS).min(objective) {
+    if attempt.is_counted_as_failure() || age <= latency.upper_bound(OVERDUE_DEVIATIONS).min(objective) {
         return None;
     }
-    let silent_after = latency.upper_bound(SILENT_DEVIATIONS);
+    let unresponsive_after = latency.upper_bound(UNRESPONSIVE_DEVIATIONS);
     let endpoint = cluster.endpoint(attempt.endpoint());
     // Only for writes: the latency of reads varies too much to tell a lost answer from a slow one.
     let may_be_lost = class.idempotency == Idempotency::IdempotencyKey;
-    let served_sent_at = endpoint.latest_served_sent_at();
-    let is_overtaken = served_sent_at.is_some_and(|sent_at| sent_at - attempt.sent_at() > silent_after);
+    let newest_served_sent_at = endpoint.newest_served_attempt_sent_at();
+    let is_overtaken =
+        newest_served_sent_at.is_some_and(|sent_at| sent_at - attempt.sent_at() > unresponsive_after);
     Some(OverdueCause {
-        is_endpoint_silent: age > silent_after && endpoint.is_silent_since(attempt.sent_at()),
-        is_answer_lost: age > silent_after && may_be_lost && is_overtaken,
+        is_endpoint_unresponsive: age > unresponsive_after
+            && endpoint.has_not_responded_since(attempt.sent_at()),
+        is_answer_lost: age > unresponsive_after && may_be_lost && is_overtaken,
     })
 }
