--- a/src/net/frontend/input.rs
+++ b/src/net/frontend/input.rs
@@ -6,7 +6,7 @@
 use super::arrivals::ArrivalTimes;
 use super::error::MustClose;
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, MemoryReservation, ReadStatus, RingBuffer};
-use crate::net::postgres::{self, ClientMessage, FrameError, StartupRequest};
+use crate::net::postgres::{self, ClientMessage, ProtocolError, StartupRequest};
 
 /// The input buffer and the arrival times of its content.
 pub(super) struct Input {
@@ -79,12 +79,12 @@
     }
 
     /// Takes the startup message. Returns `None` until it is complete.
-    pub(super) fn take_startup(&mut self) -> Result<Option<StartupRequest>, FrameError> {
+    pub(super) fn take_startup(&mut self) -> Result<Option<StartupRequest>, ProtocolError> {
         postgres::read_startup(&mut self.buffer)
     }
 
     /// Takes the next message. Returns `None` until it is complete.
-    pub(super) fn take_message(&mut self) -> Result<Option<ClientMessage>, FrameError> {
+    pub(super) fn take_message(&mut self) -> Result<Option<ClientMessage>, ProtocolError> {
         postgres::read_client_message(&mut self.buffer)
     }
 
--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -7,7 +7,7 @@
 use crate::net::frontend::error::MustClose;
 use crate::net::frontend::protocol_state::Phase;
 use crate::net::postgres::{
-    self, sqlstate, ClientMessage, ClientMessageKind, FrameError, ParsedQuery, StartupRequest,
+    self, sqlstate, ClientMessage, ClientMessageKind, ParsedQuery, ProtocolError, StartupRequest,
 };
 use crate::net::{Context, Event, Query};
 
@@ -46,7 +46,7 @@
     }
 
     /// Takes the next message from the input if it is complete and the state allows it to be processed.
-    fn next_message(&mut self) -> Result<Option<IncomingMessage>, FrameError> {
+    fn next_message(&mut self) -> Result<Option<IncomingMessage>, ProtocolError> {
         match self.phase() {
             Phase::Startup => Ok(self.input.take_startup()?.map(IncomingMessage::Startup)),
             Phase::Idle | Phase::SkippingToSync => {
@@ -57,10 +57,10 @@
     }
 
     /// Reports a framing error to the client and closes its session.
-    fn reject_frame(&mut self, error: FrameError, context: &mut Context) -> Result<(), MustClose> {
+    fn reject_frame(&mut self, error: ProtocolError, context: &mut Context) -> Result<(), MustClose> {
         let code = match error {
-            FrameError::Malformed => sqlstate::PROTOCOL_VIOLATION,
-            FrameError::TooLong => sqlstate::PROGRAM_LIMIT_EXCEEDED,
+            ProtocolError::Malformed => sqlstate::PROTOCOL_VIOLATION,
+            ProtocolError::TooLong => sqlstate::PROGRAM_LIMIT_EXCEEDED,
         };
         self.close_with_error(code, &error.to_string(), &mut context.counters)
     }
--- a/src/net/postgres/framing.rs
+++ b/src/net/postgres/framing.rs
@@ -13,7 +13,7 @@
 /// Why the received bytes violate the protocol. The connection cannot be used any further. The texts are sent
 /// to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub(crate) enum FrameError {
+pub(crate) enum ProtocolError {
     /// The kind, the length or the body of a message is invalid.
     #[error("malformed message")]
     Malformed,
@@ -32,10 +32,10 @@
 /// Consumes the next client message, or returns `None` if it is incomplete.
 ///
 /// Fails if its length is invalid or exceeds [`MAX_CLIENT_BODY`].
-pub(crate) fn read_client_message(buffer: &mut RingBuffer) -> Result<Option<ClientMessage>, FrameError> {
+pub(crate) fn read_client_message(buffer: &mut RingBuffer) -> Result<Option<ClientMessage>, ProtocolError> {
     let Some(header) = peek_header(buffer)? else { return Ok(None) };
     if header.body_length > MAX_CLIENT_BODY {
-        return Err(FrameError::TooLong);
+        return Err(ProtocolError::TooLong);
     }
     let kind = ClientMessageKind::from_byte(header.first_byte);
     Ok(take_body(buffer, &header).map(|body| Message { kind, body }))
@@ -43,13 +43,13 @@
 
 /// Consumes the next message from an endpoint, or returns `None` if it is incomplete. An invalid message is
 /// rejected as soon as its first bytes show that, since the rest may never arrive.
-pub(crate) fn read_backend_message(buffer: &mut RingBuffer) -> Result<Option<BackendMessage>, FrameError> {
+pub(crate) fn read_backend_message(buffer: &mut RingBuffer) -> Result<Option<BackendMessage>, ProtocolError> {
     let Some([first_byte]) = buffer.peek() else { return Ok(None) };
-    let kind = BackendMessageKind::from_byte(first_byte).ok_or(FrameError::Malformed)?;
-    let max_body_length = max_body_length(kind).ok_or(FrameError::Malformed)?;
+    let kind = BackendMessageKind::from_byte(first_byte).ok_or(ProtocolError::Malformed)?;
+    let max_body_length = max_body_length(kind).ok_or(ProtocolError::Malformed)?;
     let Some(header) = peek_header(buffer)? else { return Ok(None) };
     if header.body_length > max_body_length {
-        return Err(FrameError::TooLong);
+        return Err(ProtocolError::TooLong);
     }
     if kind == BackendMessageKind::DataRow {
         validate_data_row_start(buffer, &header)?;
@@ -57,26 +57,26 @@
     let Some(body) = take_body(buffer, &header) else { return Ok(None) };
     let message = Message { kind, body };
     if !is_well_formed(&message) {
-        return Err(FrameError::Malformed);
+        return Err(ProtocolError::Malformed);
     }
     Ok(Some(message))
 }
 
 /// Validates the bytes of a DataRow that precede the value, once they have been received.
-fn validate_data_row_start(buffer: &RingBuffer, header: &MessageHeader) -> Result<(), FrameError> {
+fn validate_data_row_start(buffer: &RingBuffer, header: &MessageHeader) -> Result<(), ProtocolError> {
     match buffer.peek::<{ HEADER_SIZE + COLUMN_VALUE_OFFSET }>() {
         Some(start) if !has_one_column(&start[HEADER_SIZE..], header.body_length) => {
-            Err(FrameError::Malformed)
+            Err(ProtocolError::Malformed)
         }
         _ => Ok(()),
     }
 }
 
 /// Returns the header of the next message, or `None` if it is incomplete.
-fn peek_header(buffer: &RingBuffer) -> Result<Option<MessageHeader>, FrameError> {
+fn peek_header(buffer: &RingBuffer) -> Result<Option<MessageHeader>, ProtocolError> {
     let Some([first_byte, length @ ..]) = buffer.peek::<HEADER_SIZE>() else { return Ok(None) };
     let length = u32::from_be_bytes(length) as usize;
-    let body_length = length.checked_sub(LENGTH_SIZE).ok_or(FrameError::Malformed)?;
+    let body_length = length.checked_sub(LENGTH_SIZE).ok_or(ProtocolError::Malformed)?;
     Ok(Some(MessageHeader { first_byte, body_length }))
 }
 
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -1,7 +1,7 @@
 //! Session startup: the packets that clients send first, and the responses to them.
 
 use super::backend_messages::{ready_for_query, write_parameter_status, ParameterStatus};
-use super::framing::FrameError;
+use super::framing::ProtocolError;
 use super::message::{write_message, write_with_length};
 use super::message_kind::BackendMessageKind;
 use super::strings::{push_string, TERMINATOR};
@@ -63,14 +63,14 @@
 /// Consumes the startup packet of a client, which has no kind byte, or returns `None` if it is incomplete.
 ///
 /// Fails if its length is out of range or does not match the request.
-pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<StartupRequest>, FrameError> {
+pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<StartupRequest>, ProtocolError> {
     let Some(length) = buffer.peek().map(u32::from_be_bytes) else { return Ok(None) };
     let length = length as usize;
     if length < MIN_STARTUP_PACKET {
-        return Err(FrameError::Malformed);
+        return Err(ProtocolError::Malformed);
     }
     if length > MAX_STARTUP_PACKET {
-        return Err(FrameError::TooLong);
+        return Err(ProtocolError::TooLong);
     }
     if buffer.len() < length {
         return Ok(None);
@@ -79,10 +79,12 @@
 }
 
 /// Parses a complete packet, including its length field.
-fn parse_startup(packet: &[u8]) -> Result<StartupRequest, FrameError> {
+fn parse_startup(packet: &[u8]) -> Result<StartupRequest, ProtocolError> {
     match word(packet, REQUEST_CODE).unwrap_or_default() {
         SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(StartupRequest::Encryption),
-        CANCEL_REQUEST => parse_cancel_key(packet).map(StartupRequest::Cancel).ok_or(FrameError::Malformed),
+        CANCEL_REQUEST => {
+            parse_cancel_key(packet).map(StartupRequest::Cancel).ok_or(ProtocolError::Malformed)
+        }
         version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => Ok(StartupRequest::Session),
         _ => Ok(StartupRequest::UnsupportedVersion),
     }
--- a/src/net/postgres/tests/framing.rs
+++ b/src/net/postgres/tests/framing.rs
@@ -58,11 +58,11 @@
 }
 
 #[rstest]
-#[case::length_below_minimum(&[b'Q', 0, 0, 0, 3], FrameError::Malformed)]
-#[case::zero_length(&[b'Q', 0, 0, 0, 0], FrameError::Malformed)]
-#[case::one_byte_too_long(&header(b'Q', MAX_CLIENT_BODY + 1), FrameError::TooLong)]
-#[case::maximum_length(&[b'Q', 255, 255, 255, 255], FrameError::TooLong)]
-fn client_message_with_an_invalid_length_is_rejected(#[case] bytes: &[u8], #[case] expected: FrameError) {
+#[case::length_below_minimum(&[b'Q', 0, 0, 0, 3], ProtocolError::Malformed)]
+#[case::zero_length(&[b'Q', 0, 0, 0, 0], ProtocolError::Malformed)]
+#[case::one_byte_too_long(&header(b'Q', MAX_CLIENT_BODY + 1), ProtocolError::TooLong)]
+#[case::maximum_length(&[b'Q', 255, 255, 255, 255], ProtocolError::TooLong)]
+fn client_message_with_an_invalid_length_is_rejected(#[case] bytes: &[u8], #[case] expected: ProtocolError) {
     assert_eq!(read_client_message(&mut buffer_with(bytes)), Err(expected));
 }
 
@@ -113,24 +113,24 @@
 #[case::ready_without_status(BackendMessageKind::ReadyForQuery, b"")]
 fn malformed_backend_message_is_rejected(#[case] kind: BackendMessageKind, #[case] body: &[u8]) {
     let mut buffer = buffer_with(&wire_message(kind, body));
-    assert_eq!(read_backend_message(&mut buffer), Err(FrameError::Malformed));
+    assert_eq!(read_backend_message(&mut buffer), Err(ProtocolError::Malformed));
 }
 
 #[rstest]
-#[case::unknown_kind(b"x", FrameError::Malformed)]
-#[case::client_message_kind(b"Q", FrameError::Malformed)]
-#[case::empty_query_response(b"I", FrameError::Malformed)]
-#[case::length_below_minimum(&[BackendMessageKind::ReadyForQuery.into(), 0, 0, 0, 3], FrameError::Malformed)]
-#[case::long_value(&header(BackendMessageKind::DataRow, MAX_VALUE + 7), FrameError::TooLong)]
-#[case::long_error(&header(BackendMessageKind::ErrorResponse, MAX_TEXT_BODY + 1), FrameError::TooLong)]
-#[case::long_tag(&header(BackendMessageKind::CommandComplete, 1025), FrameError::TooLong)]
-#[case::long_description(&header(BackendMessageKind::RowDescription, 1025), FrameError::TooLong)]
-#[case::long_authentication(&header(BackendMessageKind::Authentication, 257), FrameError::TooLong)]
-#[case::long_ready(&header(BackendMessageKind::ReadyForQuery, 2), FrameError::TooLong)]
-#[case::wrong_value_length(&row_start(100, 93), FrameError::Malformed)]
+#[case::unknown_kind(b"x", ProtocolError::Malformed)]
+#[case::client_message_kind(b"Q", ProtocolError::Malformed)]
+#[case::empty_query_response(b"I", ProtocolError::Malformed)]
+#[case::length_below_minimum(&[BackendMessageKind::ReadyForQuery.into(), 0, 0, 0, 3], ProtocolError::Malformed)]
+#[case::long_value(&header(BackendMessageKind::DataRow, MAX_VALUE + 7), ProtocolError::TooLong)]
+#[case::long_error(&header(BackendMessageKind::ErrorResponse, MAX_TEXT_BODY + 1), ProtocolError::TooLong)]
+#[case::long_tag(&header(BackendMessageKind::CommandComplete, 1025), ProtocolError::TooLong)]
+#[case::long_description(&header(BackendMessageKind::RowDescription, 1025), ProtocolError::TooLong)]
+#[case::long_authentication(&header(BackendMessageKind::Authentication, 257), ProtocolError::TooLong)]
+#[case::long_ready(&header(BackendMessageKind::ReadyForQuery, 2), ProtocolError::TooLong)]
+#[case::wrong_value_length(&row_start(100, 93), ProtocolError::Malformed)]
 fn invalid_backend_message_is_rejected_before_it_is_complete(
     #[case] received: &[u8],
-    #[case] expected: FrameError,
+    #[case] expected: ProtocolError,
 ) {
     assert_eq!(read_backend_message(&mut buffer_with(received)), Err(expected));
 }
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -32,12 +32,12 @@
 }
 
 #[rstest]
-#[case::no_request_code(&[0, 0, 0, 4], FrameError::Malformed)]
-#[case::part_of_a_request_code(&[0, 0, 0, 7], FrameError::Malformed)]
-#[case::too_long(&10_001_u32.to_be_bytes(), FrameError::TooLong)]
-#[case::cancel_without_secret(&packet(&[CANCEL, 7]), FrameError::Malformed)]
-#[case::cancel_with_extra_word(&packet(&[CANCEL, 7, 9, 11]), FrameError::Malformed)]
-fn invalid_startup_packet_is_rejected(#[case] bytes: &[u8], #[case] expected: FrameError) {
+#[case::no_request_code(&[0, 0, 0, 4], ProtocolError::Malformed)]
+#[case::part_of_a_request_code(&[0, 0, 0, 7], ProtocolError::Malformed)]
+#[case::too_long(&10_001_u32.to_be_bytes(), ProtocolError::TooLong)]
+#[case::cancel_without_secret(&packet(&[CANCEL, 7]), ProtocolError::Malformed)]
+#[case::cancel_with_extra_word(&packet(&[CANCEL, 7, 9, 11]), ProtocolError::Malformed)]
+fn invalid_startup_packet_is_rejected(#[case] bytes: &[u8], #[case] expected: ProtocolError) {
     assert_eq!(read_startup(&mut buffer_with(bytes)), Err(expected));
 }
 
