--- a/src/net/postgres/backend_messages.rs
+++ b/src/net/postgres/backend_messages.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns whether the body of a message from an endpoint is valid for its kind.
+/// Returns `true` if the body of a message from an endpoint is valid for its kind.
 pub(super) fn is_well_formed(message: &BackendMessage) -> bool {
     let body = &message.body;
     match message.kind {
@@ -56,8 +56,8 @@
     }
 }
 
-/// Returns whether a DataRow has one column that fills the entire body. `start` must hold at least the bytes
-/// that precede the value; `body_length` is in bytes.
+/// Returns `true` if a DataRow has one column that fills the entire body. `start` must hold at least the
+/// bytes that precede the value; `body_length` is in bytes.
 pub(super) fn has_one_column(start: &[u8], body_length: usize) -> bool {
     let Some((columns, rest)) = start.split_first_chunk() else { return false };
     let Some(length) = rest.first_chunk() else { return false };
@@ -73,7 +73,7 @@
     body.get(COLUMN_VALUE_OFFSET..)
 }
 
-/// Returns whether a RowDescription describes exactly one column.
+/// Returns `true` if a RowDescription describes exactly one column.
 fn describes_one_column(body: &[u8]) -> bool {
     let Some(column) = body.strip_prefix(&ONE_COLUMN) else { return false };
     let Some(name_length) = column.len().checked_sub(COLUMN_ATTRIBUTES_SIZE) else { return false };
--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -7,7 +7,7 @@
 
 use super::message::{write_message, HEADER_SIZE};
 use super::message_kind::ClientMessageKind;
-use super::query_comment::{CommentError, CommentFields, RawFields};
+use super::query_comment::{CommentError, CommentFields, UnparsedFields};
 use super::strings::{parse_string, push_string, TERMINATOR};
 use crate::net::{Query, Statement};
 
@@ -57,7 +57,7 @@
     if is_blank(statement) {
         return Err(QueryError::MissingStatement);
     }
-    let fields = RawFields::parse(&sql[comment.clone()], comment.start)?.validate()?;
+    let fields = UnparsedFields::parse(&sql[comment.clone()], comment.start)?.validate()?;
     Ok(ParsedQuery::Query(Box::new(build_query(sql, statement, fields))))
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// Returns whether `sql` contains no statement.
+/// Returns `true` if `sql` contains no statement.
 fn is_blank(sql: &str) -> bool {
     sql.trim_matches(BLANK_CHARACTERS).is_empty()
 }
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -90,18 +90,18 @@
 }
 
 /// An unparsed value and its position in the query.
-struct RawValue<'a> {
+struct UnparsedValue<'a> {
     text: &'a str,
     /// The byte offset in the query.
     start: usize,
 }
 
-impl<'a> RawValue<'a> {
+impl<'a> UnparsedValue<'a> {
     /// Returns the value without surrounding whitespace; `start` is the byte offset of `padded` in the query.
     fn trimmed(padded: &'a str, start: usize) -> Self {
         let without_leading = padded.trim_start();
         let leading = padded.len() - without_leading.len();
-        RawValue { text: without_leading.trim_end(), start: start + leading }
+        UnparsedValue { text: without_leading.trim_end(), start: start + leading }
     }
 
     fn range(&self) -> Range<usize> {
@@ -111,36 +111,36 @@
 
 /// The unparsed fields of a comment. Unknown fields are ignored.
 #[derive(Default)]
-pub(super) struct RawFields<'a> {
-    id: Option<RawValue<'a>>,
-    class: Option<RawValue<'a>>,
-    tenant: Option<RawValue<'a>>,
-    group: Option<RawValue<'a>>,
-    timeout: Option<RawValue<'a>>,
-    idempotency_key: Option<RawValue<'a>>,
+pub(super) struct UnparsedFields<'a> {
+    id: Option<UnparsedValue<'a>>,
+    class: Option<UnparsedValue<'a>>,
+    tenant: Option<UnparsedValue<'a>>,
+    group: Option<UnparsedValue<'a>>,
+    timeout: Option<UnparsedValue<'a>>,
+    idempotency_key: Option<UnparsedValue<'a>>,
     /// Marks a retry by the client. Any non-empty value is accepted, and the value is not used.
-    client_retry: Option<RawValue<'a>>,
-    session_token: Option<RawValue<'a>>,
+    client_retry: Option<UnparsedValue<'a>>,
+    session_token: Option<UnparsedValue<'a>>,
 }
 
-impl<'a> RawFields<'a> {
+impl<'a> UnparsedFields<'a> {
     /// Parses the text inside a comment; `start` is its byte offset in the query.
     ///
     /// Fails if a pair has no equals sign, or if a known field is empty or occurs twice.
     pub fn parse(comment: &'a str, start: usize) -> Result<Self, CommentError> {
-        let mut fields = RawFields::default();
+        let mut fields = UnparsedFields::default();
         let mut pair_start = start;
         for pair in comment.split(PAIR_SEPARATOR) {
             let (name, value) = pair.split_once(NAME_SEPARATOR).ok_or(CommentError::MalformedPair)?;
             let value_start = pair_start + name.len() + NAME_SEPARATOR.len_utf8();
-            fields.set(name.trim(), RawValue::trimmed(value, value_start))?;
+            fields.set(name.trim(), UnparsedValue::trimmed(value, value_start))?;
             pair_start += pair.len() + PAIR_SEPARATOR.len_utf8();
         }
         Ok(fields)
     }
 
     /// Sets the field with this name; an unknown name is ignored.
-    fn set(&mut self, name: &str, value: RawValue<'a>) -> Result<(), CommentError> {
+    fn set(&mut self, name: &str, value: UnparsedValue<'a>) -> Result<(), CommentError> {
         let Some(field) = self.field_mut(name) else { return Ok(()) };
         if value.text.is_empty() || field.is_some() {
             return Err(CommentError::EmptyOrRepeatedValue);
@@ -149,7 +149,7 @@
         Ok(())
     }
 
-    fn field_mut(&mut self, name: &str) -> Option<&mut Option<RawValue<'a>>> {
+    fn field_mut(&mut self, name: &str) -> Option<&mut Option<UnparsedValue<'a>>> {
         match name {
             ID => Some(&mut self.id),
             CLASS => Some(&mut self.class),
@@ -185,18 +185,18 @@
 }
 
 /// Parses the optional session token. A token of 0 means that no particular commit has to be visible.
-fn parse_session_token(value: Option<RawValue>) -> Result<Option<ClusterInstant>, CommentError> {
+fn parse_session_token(value: Option<UnparsedValue>) -> Result<Option<ClusterInstant>, CommentError> {
     let Some(value) = value else { return Ok(None) };
     let millis = parse_millis(value.text).ok_or(CommentError::InvalidSessionToken)?;
     Ok((millis > 0).then(|| ClusterInstant::from_secs(millis as f64 / MILLIS_PER_SECOND)))
 }
 
-fn parse_group(value: Option<RawValue>) -> Option<u32> {
+fn parse_group(value: Option<UnparsedValue>) -> Option<u32> {
     value?.text.parse().ok()
 }
 
 /// Parses the timeout, or returns `None` if it is zero or not a valid number.
-fn parse_timeout(value: &RawValue) -> Option<Duration> {
+fn parse_timeout(value: &UnparsedValue) -> Option<Duration> {
     let millis = parse_millis(value.text)?;
     (millis > 0).then(|| Duration::from_millis(millis))
 }
--- a/src/net/postgres/sqlstate.rs
+++ b/src/net/postgres/sqlstate.rs
@@ -33,7 +33,7 @@
 const CLASS_INTEGRITY_CONSTRAINT_VIOLATION: &str = "23";
 const CLASS_SYNTAX_ERROR_OR_ACCESS_RULE_VIOLATION: &str = "42";
 
-/// Returns whether a code means that the statement itself is at fault, so every endpoint would reject it.
+/// Returns `true` if a code means that the statement itself is at fault, so every endpoint would reject it.
 pub(crate) fn is_statement_error(code: &str) -> bool {
     let class = code.get(..CLASS_LENGTH).unwrap_or_default();
     let statement_class = matches!(
--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -8,10 +8,10 @@
 use crate::net::buffer::RingBuffer;
 use crate::net::CancelKey;
 
-/// Size of a word in a startup packet (bytes). The words are the length, the request code and, in a cancel
-/// request, the two parts of the cancel key.
-const WORD_SIZE: usize = 4;
-/// The positions of the words in a packet, counted in words.
+/// Size of an integer field in a startup packet (bytes). These fields are the length, the request code and,
+/// in a cancel request, the two parts of the cancel key.
+const FIELD_SIZE: usize = 4;
+/// The indices of the integer fields that follow the length.
 const REQUEST_CODE: usize = 1;
 const CANCEL_PROCESS_ID: usize = 2;
 const CANCEL_SECRET: usize = 3;
@@ -19,9 +19,9 @@
 /// Maximum length of a startup packet (bytes). It needs to hold only a few names.
 const MAX_STARTUP_PACKET: usize = 10_000;
 /// Minimum length of a startup packet (bytes): the length and the request code.
-const MIN_STARTUP_PACKET: usize = 2 * WORD_SIZE;
-/// Length of a cancel request (bytes): the length, the request code and the two words of the cancel key.
-const CANCEL_PACKET_LENGTH: usize = 4 * WORD_SIZE;
+const MIN_STARTUP_PACKET: usize = 2 * FIELD_SIZE;
+/// Length of a cancel request (bytes): the length, the request code and the two parts of the cancel key.
+const CANCEL_PACKET_LENGTH: usize = 4 * FIELD_SIZE;
 
 /// A protocol version holds the major version in the upper 16 bits and the minor version in the lower 16.
 const MINOR_VERSION_BITS: u32 = 16;
@@ -80,7 +80,7 @@
 
 /// Parses a complete packet, including its length field.
 fn parse_startup(packet: &[u8]) -> Result<StartupRequest, ProtocolError> {
-    match word(packet, REQUEST_CODE).unwrap_or_default() {
+    match integer_field(packet, REQUEST_CODE).unwrap_or_default() {
         SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(StartupRequest::Encryption),
         CANCEL_REQUEST => {
             parse_cancel_key(packet).map(StartupRequest::Cancel).ok_or(ProtocolError::Malformed)
@@ -94,12 +94,15 @@
     if packet.len() != CANCEL_PACKET_LENGTH {
         return None;
     }
-    Some(CancelKey { process_id: word(packet, CANCEL_PROCESS_ID)?, secret: word(packet, CANCEL_SECRET)? })
+    Some(CancelKey {
+        process_id: integer_field(packet, CANCEL_PROCESS_ID)?,
+        secret: integer_field(packet, CANCEL_SECRET)?,
+    })
 }
 
-/// Returns the word at `index`, which counts words.
-fn word(packet: &[u8], index: usize) -> Option<u32> {
-    let bytes = packet.get(WORD_SIZE * index..)?.first_chunk()?;
+/// Returns the integer field at `index`.
+fn integer_field(packet: &[u8], index: usize) -> Option<u32> {
+    let bytes = packet.get(FIELD_SIZE * index..)?.first_chunk()?;
     Some(u32::from_be_bytes(*bytes))
 }
 
--- a/src/net/postgres/tests/framing.rs
+++ b/src/net/postgres/tests/framing.rs
@@ -6,24 +6,24 @@
 use super::super::framing::MAX_CLIENT_BODY;
 use super::*;
 
-/// The header of a message that declares a body of `body_length` bytes.
+/// Returns the header of a message that declares a body of `body_length` bytes.
 fn header(kind: impl Into<u8>, body_length: usize) -> Vec<u8> {
     let length = (body_length + 4) as u32;
     [&[kind.into()][..], &length.to_be_bytes()].concat()
 }
 
-/// The body of a DataRow with one value, whose column declares a length of `column_length` bytes.
+/// Returns the body of a DataRow with one value; the column declares a length of `column_length` bytes.
 fn row(column_length: usize, value: &[u8]) -> Vec<u8> {
     let length = (column_length as u32).to_be_bytes();
     [&[0, 1][..], &length, value].concat()
 }
 
-/// A DataRow message up to its value.
+/// Returns a DataRow message up to its value.
 fn row_start(body_length: usize, column_length: usize) -> Vec<u8> {
     [header(BackendMessageKind::DataRow, body_length), row(column_length, b"")].concat()
 }
 
-/// The body of a RowDescription with a column count, a column name and `attributes` bytes of attributes.
+/// Returns the body of a RowDescription with a column count, a name and `attributes` bytes of attributes.
 fn description(columns: u8, name: &[u8], attributes: usize) -> Vec<u8> {
     [&[0, columns][..], name, &vec![0; attributes]].concat()
 }
@@ -120,7 +120,10 @@
 #[case::unknown_kind(b"x", ProtocolError::Malformed)]
 #[case::client_message_kind(b"Q", ProtocolError::Malformed)]
 #[case::empty_query_response(b"I", ProtocolError::Malformed)]
-#[case::length_below_minimum(&[BackendMessageKind::ReadyForQuery.into(), 0, 0, 0, 3], ProtocolError::Malformed)]
+#[case::length_below_minimum(
+    &[BackendMessageKind::ReadyForQuery.into(), 0, 0, 0, 3],
+    ProtocolError::Malformed
+)]
 #[case::long_value(&header(BackendMessageKind::DataRow, MAX_VALUE + 7), ProtocolError::TooLong)]
 #[case::long_error(&header(BackendMessageKind::ErrorResponse, MAX_TEXT_BODY + 1), ProtocolError::TooLong)]
 #[case::long_tag(&header(BackendMessageKind::CommandComplete, 1025), ProtocolError::TooLong)]
--- a/src/net/postgres/tests/startup.rs
+++ b/src/net/postgres/tests/startup.rs
@@ -10,11 +10,11 @@
 const SSL: u32 = 80_877_103;
 const GSS: u32 = 80_877_104;
 
-/// Encodes a packet: its length followed by `words`.
-fn packet(words: &[u32]) -> Vec<u8> {
-    let length = 4 * (words.len() as u32 + 1);
-    let words = words.iter().flat_map(|word| word.to_be_bytes());
-    length.to_be_bytes().into_iter().chain(words).collect()
+/// Encodes a packet: its length followed by `fields`.
+fn packet(fields: &[u32]) -> Vec<u8> {
+    let length = 4 * (fields.len() as u32 + 1);
+    let fields = fields.iter().flat_map(|field| field.to_be_bytes());
+    length.to_be_bytes().into_iter().chain(fields).collect()
 }
 
 #[rstest]
@@ -36,7 +36,7 @@
 #[case::part_of_a_request_code(&[0, 0, 0, 7], ProtocolError::Malformed)]
 #[case::too_long(&10_001_u32.to_be_bytes(), ProtocolError::TooLong)]
 #[case::cancel_without_secret(&packet(&[CANCEL, 7]), ProtocolError::Malformed)]
-#[case::cancel_with_extra_word(&packet(&[CANCEL, 7, 9, 11]), ProtocolError::Malformed)]
+#[case::cancel_with_extra_field(&packet(&[CANCEL, 7, 9, 11]), ProtocolError::Malformed)]
 fn invalid_startup_packet_is_rejected(#[case] bytes: &[u8], #[case] expected: ProtocolError) {
     assert_eq!(read_startup(&mut buffer_with(bytes)), Err(expected));
 }
