--- a/src/net/discovery/http_response.rs
+++ b/src/net/discovery/http_response.rs
@@ -27,11 +27,11 @@
 }
 
 /// The result of one step of the parser.
-enum Step {
+enum ParseStep {
     /// More input is needed.
     Incomplete,
     /// A part of the framing was consumed.
-    Framing,
+    FramingConsumed,
     /// Bytes of the body were consumed.
     Data(Vec<u8>),
 }
@@ -52,7 +52,7 @@
         ResponseParser { state: ParserState::Head }
     }
 
-    /// Returns whether the response head has been parsed.
+    /// Returns `true` if the response head has been parsed.
     pub fn has_head(&self) -> bool {
         self.state != ParserState::Head
     }
@@ -61,14 +61,14 @@
     pub fn next_data(&mut self, input: &mut RingBuffer) -> Result<Option<Vec<u8>>, WatchError> {
         loop {
             match self.parse_next(input)? {
-                Step::Incomplete => return Ok(None),
-                Step::Framing => {}
-                Step::Data(bytes) => return Ok(Some(bytes)),
+                ParseStep::Incomplete => return Ok(None),
+                ParseStep::FramingConsumed => {}
+                ParseStep::Data(bytes) => return Ok(Some(bytes)),
             }
         }
     }
 
-    fn parse_next(&mut self, input: &mut RingBuffer) -> Result<Step, WatchError> {
+    fn parse_next(&mut self, input: &mut RingBuffer) -> Result<ParseStep, WatchError> {
         match self.state {
             ParserState::Head => self.parse_head(input),
             ParserState::ChunkSize => self.parse_chunk_size(input),
@@ -77,7 +77,7 @@
         }
     }
 
-    fn parse_head(&mut self, input: &mut RingBuffer) -> Result<Step, WatchError> {
+    fn parse_head(&mut self, input: &mut RingBuffer) -> Result<ParseStep, WatchError> {
         let head = input.peek_up_to(MAX_HEAD_LENGTH);
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -88,46 +88,46 @@
                     BodyFraming::UntilClosed => ParserState::ChunkData { remaining: u64::MAX },
                 };
                 input.consume(length);
-                Ok(Step::Framing)
+                Ok(ParseStep::FramingConsumed)
             }
-            Ok(httparse::Status::Partial) if head.len() < MAX_HEAD_LENGTH => Ok(Step::Incomplete),
+            Ok(httparse::Status::Partial) if head.len() < MAX_HEAD_LENGTH => Ok(ParseStep::Incomplete),
             _ => Err(WatchError::InvalidHead),
         }
     }
 
-    fn parse_chunk_size(&mut self, input: &mut RingBuffer) -> Result<Step, WatchError> {
+    fn parse_chunk_size(&mut self, input: &mut RingBuffer) -> Result<ParseStep, WatchError> {
         let line = input.peek_up_to(MAX_CHUNK_SIZE_LINE);
         match httparse::parse_chunk_size(&line) {
             Ok(httparse::Status::Complete((_, 0))) => Err(WatchError::Ended),
             Ok(httparse::Status::Complete((length, size))) => {
                 input.consume(length);
                 self.state = ParserState::ChunkData { remaining: size };
-                Ok(Step::Framing)
+                Ok(ParseStep::FramingConsumed)
             }
-            Ok(httparse::Status::Partial) if line.len() < MAX_CHUNK_SIZE_LINE => Ok(Step::Incomplete),
+            Ok(httparse::Status::Partial) if line.len() < MAX_CHUNK_SIZE_LINE => Ok(ParseStep::Incomplete),
             _ => Err(WatchError::MalformedChunk),
         }
     }
 
-    fn take_chunk_data(&mut self, remaining: u64, input: &mut RingBuffer) -> Step {
+    fn take_chunk_data(&mut self, remaining: u64, input: &mut RingBuffer) -> ParseStep {
         let bytes = input.take(usize::try_from(remaining).unwrap_or(usize::MAX));
         if bytes.is_empty() {
-            return Step::Incomplete;
+            return ParseStep::Incomplete;
         }
         self.state = match remaining - bytes.len() as u64 {
             0 => ParserState::ChunkEnd,
             remaining => ParserState::ChunkData { remaining },
         };
-        Step::Data(bytes)
+        ParseStep::Data(bytes)
     }
 
-    fn parse_chunk_end(&mut self, input: &mut RingBuffer) -> Result<Step, WatchError> {
+    fn parse_chunk_end(&mut self, input: &mut RingBuffer) -> Result<ParseStep, WatchError> {
         match input.peek() {
-            None => Ok(Step::Incomplete),
+            None => Ok(ParseStep::Incomplete),
             Some([b'\r', b'\n']) => {
                 input.consume(2);
                 self.state = ParserState::ChunkSize;
-                Ok(Step::Framing)
+                Ok(ParseStep::FramingConsumed)
             }
             Some(_) => Err(WatchError::MalformedChunk),
         }
--- a/src/net/discovery/list_splitter.rs
+++ b/src/net/discovery/list_splitter.rs
@@ -8,7 +8,7 @@
 
 /// A complete message received over a watch.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Update {
+pub(super) enum WatchMessage {
     /// An empty line, which means that nothing has changed.
     Heartbeat,
     /// The JSON text of an endpoint list.
@@ -28,28 +28,28 @@
 }
 
 impl ListSplitter {
-    /// Returns whether a list has begun that is not complete yet.
+    /// Returns `true` if a list has begun that is not complete yet.
     pub fn is_inside_list(&self) -> bool {
         self.depth > 0
     }
 
-    /// Processes `bytes` and appends each message that they complete to `updates`.
-    pub fn push(&mut self, bytes: &[u8], updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    /// Processes `bytes` and appends each message that they complete to `messages`.
+    pub fn push(&mut self, bytes: &[u8], messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         for byte in bytes {
             if self.is_inside_list() || *byte == b'{' {
-                self.push_list_byte(*byte, updates)?;
+                self.push_list_byte(*byte, messages)?;
             } else {
-                push_byte_between_lists(*byte, updates)?;
+                push_byte_between_lists(*byte, messages)?;
             }
         }
         Ok(())
     }
 
-    fn push_list_byte(&mut self, byte: u8, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    fn push_list_byte(&mut self, byte: u8, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         self.list.push(byte);
         self.track_nesting(byte);
         if self.depth == 0 {
-            updates.push(Update::List(std::mem::take(&mut self.list)));
+            messages.push(WatchMessage::List(std::mem::take(&mut self.list)));
         } else if self.depth > MAX_DEPTH || self.list.len() > MAX_LIST_LENGTH {
             return Err(WatchError::ListTooLarge);
         }
@@ -68,9 +68,9 @@
     }
 }
 
-fn push_byte_between_lists(byte: u8, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+fn push_byte_between_lists(byte: u8, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
     match byte {
-        b'\n' => updates.push(Update::Heartbeat),
+        b'\n' => messages.push(WatchMessage::Heartbeat),
         b' ' | b'\t' | b'\r' => {}
         _ => return Err(WatchError::UnexpectedData),
     }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -21,7 +21,7 @@
 use crate::interface::UpdateKind;
 use crate::json;
 use error::WatchError;
-use list_splitter::Update;
+use list_splitter::WatchMessage;
 use watch::{WatchConnection, WatchTimeouts};
 
 /// Maintains at most one watch on the endpoint list, and the version of the last received list.
@@ -32,7 +32,7 @@
     budget: MemoryBudget,
     /// The version of the last received list.
     list_version: u64,
-    /// The last error, until a list or heartbeat is received. A repeated error is logged only once.
+    /// The last error; cleared when a list or heartbeat is received. A repeated error is logged only once.
     last_error: Option<WatchError>,
 }
 
@@ -99,19 +99,24 @@
     /// Handles a watch whose socket is ready for reading or writing.
     pub fn ready(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(watch) = self.watches.get_mut(id) else { return };
-        let mut updates = Vec::new();
-        let io_result = watch.handle_ready(context.reactor.now(), &mut updates);
-        let apply_result = updates.into_iter().try_for_each(|update| self.apply(update, id, context));
+        let mut messages = Vec::new();
+        let io_result = watch.handle_ready(context.reactor.now(), &mut messages);
+        let apply_result = messages.into_iter().try_for_each(|message| self.apply(message, id, context));
         if let Err(error) = apply_result.and(io_result) {
             self.fail(error, context);
         }
     }
 
-    fn apply(&mut self, update: Update, id: ConnectionId, context: &mut Context) -> Result<(), WatchError> {
+    fn apply(
+        &mut self,
+        message: WatchMessage,
+        id: ConnectionId,
+        context: &mut Context,
+    ) -> Result<(), WatchError> {
         self.last_error = None;
-        match update {
-            Update::Heartbeat => self.apply_heartbeat(id, context),
-            Update::List(text) => {
+        match message {
+            WatchMessage::Heartbeat => self.apply_heartbeat(id, context),
+            WatchMessage::List(text) => {
                 let list = decode_list(&text).ok_or(WatchError::InvalidList)?;
                 self.apply_list(list, id, context);
             }
@@ -133,7 +138,7 @@
         context.events.push_back(Event::EndpointsUpdated(kind, list.endpoints));
     }
 
-    /// Marks the watch as answered. Returns whether it already was.
+    /// Marks the watch as answered. Returns `true` if it already was.
     fn mark_answered(&mut self, id: ConnectionId) -> bool {
         self.watches.get_mut(id).is_none_or(WatchConnection::mark_answered)
     }
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -9,11 +9,11 @@
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Splits a text that arrives in pieces of `piece_size` bytes.
-fn split(text: &[u8], piece_size: usize) -> Result<Vec<Update>, WatchError> {
-    let (mut splitter, mut updates) = (ListSplitter::default(), Vec::new());
-    text.chunks(piece_size).try_for_each(|bytes| splitter.push(bytes, &mut updates))?;
+fn split(text: &[u8], piece_size: usize) -> Result<Vec<WatchMessage>, WatchError> {
+    let (mut splitter, mut messages) = (ListSplitter::default(), Vec::new());
+    text.chunks(piece_size).try_for_each(|bytes| splitter.push(bytes, &mut messages))?;
     assert!(!splitter.is_inside_list());
-    Ok(updates)
+    Ok(messages)
 }
 
 /// Parses a response that arrives in pieces of `piece_size` bytes, up to the first error or the last byte.
@@ -39,11 +39,11 @@
         "b":[{}]}"#;
     let text = [b"\r\n \t", &first[..], b"{}\n\n"].concat();
     let expected = [
-        Update::Heartbeat,
-        Update::List(first.to_vec()),
-        Update::List(b"{}".to_vec()),
-        Update::Heartbeat,
-        Update::Heartbeat,
+        WatchMessage::Heartbeat,
+        WatchMessage::List(first.to_vec()),
+        WatchMessage::List(b"{}".to_vec()),
+        WatchMessage::Heartbeat,
+        WatchMessage::Heartbeat,
     ];
     assert_eq!(split(&text, piece_size).unwrap(), expected);
 }
@@ -110,7 +110,9 @@
     let text = format!(
         "{{\n        \"index\": 41,\n        \"snapshot\": true,\n        \"endpoints\": [{entries}]\n}}\n"
     );
-    let updates = split(text.as_bytes(), 65_536).unwrap();
-    let Some(Update::List(list)) = updates.first() else { panic!("no list among {} updates", updates.len()) };
+    let messages = split(text.as_bytes(), 65_536).unwrap();
+    let Some(WatchMessage::List(list)) = messages.first() else {
+        panic!("no list among {} messages", messages.len())
+    };
     assert_eq!(decode_list(list).unwrap().endpoints.len(), MAX_ENDPOINTS);
 }
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -9,7 +9,7 @@
 
 use super::error::WatchError;
 use super::http_response::ResponseParser;
-use super::list_splitter::{ListSplitter, Update};
+use super::list_splitter::{ListSplitter, WatchMessage};
 use crate::net::buffer::{CapacityExceeded, MemoryBudget, ReadStatus, RingBuffer};
 use crate::net::reactor::{ConnectionId, EventSource, Reactor};
 
@@ -95,7 +95,7 @@
         reactor.register(&mut self.stream, EventSource::Discovery(id), interest)
     }
 
-    /// Marks the watch as answered. Returns whether it already was.
+    /// Marks the watch as answered. Returns `true` if it already was.
     pub fn mark_answered(&mut self) -> bool {
         std::mem::replace(&mut self.answered, true)
     }
@@ -121,23 +121,23 @@
         }
     }
 
-    /// Reads and writes until the socket would block. Appends the received messages to `updates`, including
+    /// Reads and writes until the socket would block. Appends the received messages to `messages`, including
     /// those received before an error.
-    pub fn handle_ready(&mut self, now: Instant, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    pub fn handle_ready(&mut self, now: Instant, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         let received_before = self.input.total_received();
-        let result = self.transfer(updates);
+        let result = self.transfer(messages);
         if self.response.has_head() && self.input.total_received() > received_before {
             self.last_received_at = now;
         }
         if !self.splitter.is_inside_list() {
             self.list_started_at = None;
-        } else if self.list_started_at.is_none() || !updates.is_empty() {
+        } else if self.list_started_at.is_none() || !messages.is_empty() {
             self.list_started_at = Some(now);
         }
         result
     }
 
-    fn transfer(&mut self, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    fn transfer(&mut self, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         if self.stream.peer_addr().is_err() {
             return match self.stream.take_error() {
                 // The connection is still being established.
@@ -149,7 +149,7 @@
         loop {
             let status = self.input.read_from(&mut self.stream).map_err(|_| WatchError::ConnectionLost)?;
             let length_before = self.input.len();
-            self.parse_input(updates)?;
+            self.parse_input(messages)?;
             match status {
                 ReadStatus::EndOfStream => return Err(WatchError::Ended),
                 ReadStatus::WouldBlock => return Ok(()),
@@ -161,9 +161,9 @@
         }
     }
 
-    fn parse_input(&mut self, updates: &mut Vec<Update>) -> Result<(), WatchError> {
+    fn parse_input(&mut self, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         while let Some(data) = self.response.next_data(&mut self.input)? {
-            self.splitter.push(&data, updates)?;
+            self.splitter.push(&data, messages)?;
         }
         Ok(())
     }
