--- a/src/adapter/instances.rs
+++ b/src/adapter/instances.rs
@@ -8,7 +8,7 @@
 use pg_pooler::Policy;
 
 use crate::wire::{
-    decode_line, write_reply, BaseTime, InstanceId, InstanceLine, InstanceMessage, InventoryId, Message,
+    decode_line, write_reply, BaseTime, DecodedEvent, InstanceId, InstanceLine, InventoryId, Message,
     NewInstance, WireError,
 };
 
@@ -88,11 +88,11 @@
         Ok(())
     }
 
-    /// Converts a message to an event, replacing a reference to an inventory with its endpoints.
-    fn resolve(&self, message: InstanceMessage) -> Result<Event, WireError> {
-        match message {
-            InstanceMessage::Event(event) => Ok(event),
-            InstanceMessage::EndpointsFromInventory { kind, inventory } => {
+    /// Replaces a reference to an inventory with its endpoints.
+    fn resolve(&self, event: DecodedEvent) -> Result<Event, WireError> {
+        match event {
+            DecodedEvent::Complete(event) => Ok(event),
+            DecodedEvent::EndpointsFromInventory { kind, inventory } => {
                 let endpoints = self.inventories.get(&inventory);
                 let endpoints = endpoints.cloned().ok_or(WireError::UnknownInventory(inventory))?;
                 Ok(Event::EndpointsUpdated { kind, endpoints })
--- a/src/adapter/wire/decode/endpoints.rs
+++ b/src/adapter/wire/decode/endpoints.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use crate::wire::fields::Fields;
-use crate::wire::names::ListUpdate;
+use crate::wire::names::UpdateResult;
 use crate::wire::{layout, names, InventoryId, WireError};
 
 /// Decodes the entries of an inventory. Fails if any entry is malformed.
@@ -36,14 +36,14 @@
     names::endpoint_status(status).ok_or_else(|| WireError::UnknownStatus(status.to_string()))
 }
 
-/// Decodes an endpoint list update, and the identifier of the inventory with its endpoints.
-pub fn decode_update(fields: Fields) -> Result<(ListUpdate, InventoryId), WireError> {
-    let update = decode_list_update(fields)?;
+/// Decodes the result of an endpoint list update, and the identifier of the inventory with its endpoints.
+pub fn decode_update(fields: Fields) -> Result<(UpdateResult, InventoryId), WireError> {
+    let result = decode_update_result(fields)?;
     let inventory = fields.integer_or_zero(layout::endpoint_update::INVENTORY)? as InventoryId;
-    Ok((update, inventory))
+    Ok((result, inventory))
 }
 
-fn decode_list_update(fields: Fields) -> Result<ListUpdate, WireError> {
+fn decode_update_result(fields: Fields) -> Result<UpdateResult, WireError> {
     let kind = fields.string(layout::endpoint_update::KIND)?;
-    names::list_update(kind).ok_or_else(|| WireError::UnknownUpdateKind(kind.to_string()))
+    names::update_result(kind).ok_or_else(|| WireError::UnknownUpdateKind(kind.to_string()))
 }
--- a/src/adapter/wire/decode/instance_messages.rs
+++ b/src/adapter/wire/decode/instance_messages.rs
@@ -8,7 +8,7 @@
 
 use super::{endpoints, results, MILLIS_PER_SECOND};
 use crate::wire::fields::Fields;
-use crate::wire::names::{request_option, InstanceMessageName, ListUpdate};
+use crate::wire::names::{request_option, InstanceMessageName, UpdateResult};
 use crate::wire::{layout, BaseTime, InstanceId, InventoryId, WireError};
 
 /// A line for one instance. Its log positions can only be decoded with the base time of the instance.
@@ -19,12 +19,12 @@
     values: Vec<Value>,
 }
 
-/// A decoded line for one instance.
-pub enum InstanceMessage {
+/// An event for one instance, whose endpoints may still have to be looked up.
+pub enum DecodedEvent {
     /// An update of the endpoint list with the endpoints of an inventory.
     EndpointsFromInventory { kind: UpdateKind, inventory: InventoryId },
     /// An event that refers to no inventory.
-    Event(Event),
+    Complete(Event),
 }
 
 impl InstanceLine {
@@ -33,17 +33,17 @@
         InstanceLine { instance, name, values }
     }
 
-    /// Decodes the message; `base_time` is that of the instance. Fails if a field has the wrong type or an
+    /// Decodes the event; `base_time` is that of the instance. Fails if a field has the wrong type or an
     /// unknown value.
-    pub fn decode(&self, base_time: BaseTime) -> Result<InstanceMessage, WireError> {
+    pub fn decode(&self, base_time: BaseTime) -> Result<DecodedEvent, WireError> {
         let fields = Fields(&self.values);
         let event = match self.name {
             // The update only refers to an inventory, which the caller has to look up.
             InstanceMessageName::EndpointsUpdated => {
                 return Ok(match endpoints::decode_update(fields)? {
-                    (ListUpdate::WatchFailed, _) => InstanceMessage::Event(Event::WatchFailed),
-                    (ListUpdate::Contents(kind), inventory) => {
-                        InstanceMessage::EndpointsFromInventory { kind, inventory }
+                    (UpdateResult::Failed, _) => DecodedEvent::Complete(Event::WatchFailed),
+                    (UpdateResult::Received(kind), inventory) => {
+                        DecodedEvent::EndpointsFromInventory { kind, inventory }
                     }
                 });
             }
@@ -58,7 +58,7 @@
             }
             InstanceMessageName::TimerExpired => Event::TimerExpired { cookie: decode_cookie(fields)? },
         };
-        Ok(InstanceMessage::Event(event))
+        Ok(DecodedEvent::Complete(event))
     }
 }
 
--- a/src/adapter/wire/decode/mod.rs
+++ b/src/adapter/wire/decode/mod.rs
@@ -15,7 +15,7 @@
 use super::names::MessageName;
 use super::{layout, BaseTime, InstanceId, InventoryId, WireError};
 
-pub use instance_messages::{InstanceLine, InstanceMessage};
+pub use instance_messages::{DecodedEvent, InstanceLine};
 
 /// Converts the times that are in milliseconds on the wire.
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -57,7 +57,7 @@
     let (name, values) = split_line(line)?;
     let fields = Fields(&values);
     let Some(message) = MessageName::from_wire(&name) else {
-        // An unknown message is taken to be one to an instance, so an invalid instance is reported first.
+        // As in messages to an instance, an invalid instance is reported first.
         decode_instance_id(fields)?;
         return Err(WireError::UnknownMessage(name));
     };
--- a/src/adapter/wire/fields.rs
+++ b/src/adapter/wire/fields.rs
@@ -77,7 +77,7 @@
         array.map(Vec::as_slice).ok_or(WireError::NotAnArray(field.name))
     }
 
-    /// Returns the Boolean at a position, or false if the value has another type.
+    /// Returns the Boolean at a position, or `false` if the value has another type.
     pub fn flag(self, position: usize) -> bool {
         self.value(position).as_bool().unwrap_or(false)
     }
--- a/src/adapter/wire/mod.rs
+++ b/src/adapter/wire/mod.rs
@@ -12,7 +12,7 @@
 mod names;
 
 pub use base_time::BaseTime;
-pub use decode::{decode_line, InstanceLine, InstanceMessage, Message, NewInstance};
+pub use decode::{decode_line, DecodedEvent, InstanceLine, Message, NewInstance};
 pub use encode::write_reply;
 pub use error::WireError;
 
--- a/src/adapter/wire/names.rs
+++ b/src/adapter/wire/names.rs
@@ -99,22 +99,22 @@
     })
 }
 
-/// An update of the endpoint list.
+/// The result of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListUpdate {
+pub enum UpdateResult {
     /// No list was received: a call failed or the watch was lost.
-    WatchFailed,
+    Failed,
     /// A list was received.
-    Contents(UpdateKind),
+    Received(UpdateKind),
 }
 
-/// Returns the list update with this kind on the wire.
-pub fn list_update(kind: &str) -> Option<ListUpdate> {
+/// Returns the result of an update with this kind on the wire.
+pub fn update_result(kind: &str) -> Option<UpdateResult> {
     Some(match kind {
-        "INCREMENTAL" => ListUpdate::Contents(UpdateKind::Delta),
-        "FULL" => ListUpdate::Contents(UpdateKind::Snapshot),
-        "SAVED" => ListUpdate::Contents(UpdateKind::Cached),
-        "FAILED" => ListUpdate::WatchFailed,
+        "INCREMENTAL" => UpdateResult::Received(UpdateKind::Delta),
+        "FULL" => UpdateResult::Received(UpdateKind::Snapshot),
+        "SAVED" => UpdateResult::Received(UpdateKind::Cached),
+        "FAILED" => UpdateResult::Failed,
         _ => return None,
     })
 }
@@ -144,7 +144,7 @@
     }
 }
 
-/// Returns whether a flag that is a number on the wire is set.
+/// Returns `true` if a numeric flag is set.
 pub fn is_set(flag: f64) -> bool {
     flag == 1.0
 }
