--- a/src/logging.rs
+++ b/src/logging.rs
@@ -75,7 +75,7 @@
         (LogWriter { queue, lost, reported: Arc::default() }, worker)
     }
 
-    /// Queues a line. Returns whether the queue had capacity for the line.
+    /// Queues a line. Returns `true` if the queue had capacity for it.
     fn queue_line(&mut self, line: &[u8]) -> bool {
         let lost_before = self.lost.dropped_lines();
         // Never fails: a line that exceeds the capacity is only counted as lost.
--- a/src/logging/tests.rs
+++ b/src/logging/tests.rs
@@ -6,7 +6,7 @@
 
 /// A log output that writes one line for each permit.
 struct SlowOutput {
-    /// Receives a message before each line is written.
+    /// Signals that a line is about to be written.
     offered: Sender<()>,
     permits: Receiver<()>,
     lines: Sender<String>,
