--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -40,8 +40,8 @@
     assert!(has_rejection_with_retry_after(&actions));
 }
 
-/// Each pooler admits some requests whatever their predicted latency, so that it notices a recovery. In a
-/// large fleet, these requests together must not overload an endpoint.
+/// Each pooler admits some requests regardless of their predicted latency, to detect a recovery. In a large
+/// fleet, these requests together must not overload an endpoint.
 #[test]
 fn unconditional_admissions_decrease_with_the_number_of_poolers() {
     let admitted = |pooler_count: u32| {
--- a/tests/policy/harness.rs
+++ b/tests/policy/harness.rs
@@ -75,17 +75,17 @@
     }
 }
 
-/// An entry of the endpoint list whose role is primary.
+/// Returns an endpoint list entry whose role is primary.
 pub fn primary(id: &str, zone: u32) -> Endpoint {
     Endpoint { role: Role::Primary, ..replica(id, zone) }
 }
 
-/// An entry of the endpoint list whose role is replica.
+/// Returns an endpoint list entry whose role is replica.
 pub fn replica(id: &str, zone: u32) -> Endpoint {
     Endpoint { id: id.into(), zone, role: Role::Replica, ..Endpoint::default() }
 }
 
-/// A request of the session "s" with a timeout of one second.
+/// Returns a request of the session "s" with a timeout of one second.
 pub fn session_request(id: &str, class: usize) -> Request {
     let Event::Request(request) = Event::request(id, class, 0, secs(1.0)) else { unreachable!() };
     Request { session: Some("s".into()), ..request }
@@ -134,7 +134,7 @@
         self
     }
 
-    /// Marks the request as finished, whatever the outcome.
+    /// Marks the request as finished, regardless of the outcome.
     pub fn request_finished(mut self) -> FinishedAttempt {
         self.0.request_finished = true;
         self
@@ -180,7 +180,7 @@
         simulation
     }
 
-    /// Passes an event to the policy at the present time and returns the resulting actions.
+    /// Passes an event to the policy at the current time and returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.handle(LocalInstant::from_secs(self.now), event, &mut actions);
@@ -310,7 +310,7 @@
     actions.iter().filter(|action| matches!(action, Action::HealthCheck { .. })).count()
 }
 
-/// Whether a request was rejected with a Retry-After above zero.
+/// Returns `true` if a request was rejected with a Retry-After above zero.
 pub fn has_rejection_with_retry_after(actions: &[Action]) -> bool {
     actions
         .iter()
--- a/tests/policy/invariants/records.rs
+++ b/tests/policy/invariants/records.rs
@@ -27,7 +27,7 @@
         self.outcome.is_none()
     }
 
-    /// Whether it may have been executed, or may still be because it is in flight.
+    /// Returns `true` if it may have been executed, or may still be because it is in flight.
     pub fn may_be_executed(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.proves_not_executed())
     }
@@ -50,12 +50,12 @@
 }
 
 impl RequestRecord {
-    /// Whether it was answered, or needs no answer because its client has disconnected.
+    /// Returns `true` if it was answered, or needs no answer because its client has disconnected.
     pub fn is_finished(&self) -> bool {
         self.final_answers > 0 || self.disconnected
     }
 
-    /// When the first attempt was sent that may have been executed, or may still be.
+    /// Returns when the first attempt was sent that may have been executed, or may still be.
     pub fn possibly_executed_since(&self) -> Option<f64> {
         let attempts = self.attempts.iter().filter(|attempt| attempt.may_be_executed());
         attempts.map(|attempt| attempt.sent_at).reduce(f64::min)
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -9,7 +9,7 @@
     STRONG_READ,
 };
 
-/// An answer in which an endpoint reports its role and its log position.
+/// Returns an answer in which an endpoint reports its role and its log position.
 fn claim(id: &str, endpoint: &str, role: Role, log_position: f64) -> FinishedAttempt {
     FinishedAttempt::new(id, endpoint, Outcome::Success).role(role).log_position(log_position)
 }
@@ -48,7 +48,7 @@
     sim.finish_attempt_with(claim("delayed", LOCAL_REPLICA, Role::Primary, start + 0.05));
     sim.now += 0.01;
     assert_eq!(sent_endpoints(&sim.request("strong", STRONG_READ)), NO_ENDPOINTS, "no primary is known");
-    // A claim with the present log position is trusted: the queued read goes to that endpoint.
+    // A claim with the current log position is trusted: the queued read goes to that endpoint.
     let endpoint = sim.route("again", EVENTUAL_READ);
     let promoted = sim.finish_attempt_with(claim("again", &endpoint, Role::Primary, sim.now));
     assert_eq!(sent_endpoints(&promoted), [endpoint.as_str()]);
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -20,7 +20,7 @@
 /// Number of requests in the fleet tests.
 const FLEET_REQUESTS: usize = (FLEET_SECONDS * FLEET_RATE) as usize;
 
-/// The entry of a local replica that started at the given time.
+/// Returns the entry of a local replica that started at the given time.
 fn warming_replica(started_at: f64) -> Endpoint {
     Endpoint { started_at: Some(ClusterInstant::from_secs(started_at)), ..replica(LOCAL_REPLICA, LOCAL_ZONE) }
 }
