--- a/src/adapter/wire/decode/mod.rs
+++ b/src/adapter/wire/decode/mod.rs
@@ -1,5 +1,5 @@
-//! Decoding of lines from the simulator. This module decodes messages to the adapter itself; its submodules
-//! decode messages to policy instances.
+//! Decoding of lines from the simulator. This module decodes messages to the adapter itself, and
+//! [`instance_messages`] those to policy instances.
 
 mod endpoints;
 mod instance_messages;
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Reads and writes until the socket would block. Appends the received messages to `messages`, including
-    /// those received before an error.
+    /// Reads and writes until the socket would block. Appends the received messages to `messages`, even if an
+    /// error follows them.
     pub fn handle_ready(&mut self, now: Instant, messages: &mut Vec<WatchMessage>) -> Result<(), WatchError> {
         let received_before = self.input.total_received();
         let result = self.transfer(messages);
