--- a/src/net/postgres/startup.rs
+++ b/src/net/postgres/startup.rs
@@ -1,17 +1,17 @@
 //! Session startup: the packets that clients send first, and the responses to them.
 
 use super::backend_messages::{ready_for_query, write_parameter_status, ParameterStatus};
-use super::framing::FrameError;
+use super::framing::ProtocolError;
 use super::message::{write_message, write_with_length};
 use super::message_kind::BackendMessageKind;
 use super::strings::{push_string, TERMINATOR};
 use crate::net::buffer::RingBuffer;
 use crate::net::CancelKey;
 
-/// Size of a word in a startup packet (bytes). The words are the length, the request code and, in a cancel
-/// request, the two parts of the cancel key.
-const WORD_SIZE: usize = 4;
-/// The positions of the words in a packet, counted in words.
+/// Size of an integer field in a startup packet (bytes). These fields are the length, the request code and,
+/// in a cancel request, the two parts of the cancel key.
+const FIELD_SIZE: usize = 4;
+/// The indices of the integer fields that follow the length.
 const REQUEST_CODE: usize = 1;
 const CANCEL_PROCESS_ID: usize = 2;
 const CANCEL_SECRET: usize = 3;
@@ -19,9 +19,9 @@
 /// Maximum length of a startup packet (bytes). It needs to hold only a few names.
 const MAX_STARTUP_PACKET: usize = 10_000;
 /// Minimum length of a startup packet (bytes): the length and the request code.
-const MIN_STARTUP_PACKET: usize = 2 * WORD_SIZE;
-/// Length of a cancel request (bytes): the length, the request code and the two words of the cancel key.
-const CANCEL_PACKET_LENGTH: usize = 4 * WORD_SIZE;
+const MIN_STARTUP_PACKET: usize = 2 * FIELD_SIZE;
+/// Length of a cancel request (bytes): the length, the request code and the two parts of the cancel key.
+const CANCEL_PACKET_LENGTH: usize = 4 * FIELD_SIZE;
 
 /// A protocol version holds the major version in the upper 16 bits and the minor version in the lower 16.
 const MINOR_VERSION_BITS: u32 = 16;
@@ -63,14 +63,14 @@
 /// Consumes the startup packet of a client, which has no kind byte, or returns `None` if it is incomplete.
 ///
 /// Fails if its length is out of range or does not match the request.
-pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<StartupRequest>, FrameError> {
+pub(crate) fn read_startup(buffer: &mut RingBuffer) -> Result<Option<StartupRequest>, ProtocolError> {
     let Some(length) = buffer.peek().map(u32::from_be_bytes) else { return Ok(None) };
     let length = length as usize;
     if length < MIN_STARTUP_PACKET {
-        return Err(FrameError::Malformed);
+        return Err(ProtocolError::Malformed);
     }
     if length > MAX_STARTUP_PACKET {
-        return Err(FrameError::TooLong);
+        return Err(ProtocolError::TooLong);
     }
     if buffer.len() < length {
         return Ok(None);
@@ -79,10 +79,12 @@
 }
 
 /// Parses a complete packet, including its length field.
-fn parse_startup(packet: &[u8]) -> Result<StartupRequest, FrameError> {
-    match word(packet, REQUEST_CODE).unwrap_or_default() {
+fn parse_startup(packet: &[u8]) -> Result<StartupRequest, ProtocolError> {
+    match integer_field(packet, REQUEST_CODE).unwrap_or_default() {
         SSL_REQUEST | GSS_ENCRYPTION_REQUEST => Ok(StartupRequest::Encryption),
-        CANCEL_REQUEST => parse_cancel_key(packet).map(StartupRequest::Cancel).ok_or(FrameError::Malformed),
+        CANCEL_REQUEST => {
+            parse_cancel_key(packet).map(StartupRequest::Cancel).ok_or(ProtocolError::Malformed)
+        }
         version if version >> MINOR_VERSION_BITS == MAJOR_VERSION => Ok(StartupRequest::Session),
         _ => Ok(StartupRequest::UnsupportedVersion),
     }
@@ -92,12 +94,15 @@
     if packet.len() != CANCEL_PACKET_LENGTH {
         return None;
     }
-    Some(CancelKey { process_id: word(packet, CANCEL_PROCESS_ID)?, secret: word(packet, CANCEL_SECRET)? })
+    Some(CancelKey {
+        process_id: integer_field(packet, CANCEL_PROCESS_ID)?,
+        secret: integer_field(packet, CANCEL_SECRET)?,
+    })
 }
 
-/// Returns the word at `index`, which counts words.
-fn word(packet: &[u8], index: usize) -> Option<u32> {
-    let bytes = packet.get(WORD_SIZE * index..)?.first_chunk()?;
+/// Returns the integer field at `index`.
+fn integer_field(packet: &[u8], index: usize) -> Option<u32> {
+    let bytes = packet.get(FIELD_SIZE * index..)?.first_chunk()?;
     Some(u32::from_be_bytes(*bytes))
 }
 
