--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -84,7 +84,7 @@
         cluster.endpoint(to).load().predict_latency(class_mean, cluster.now())
     }
 
-    /// Returns whether an endpoint is predicted to answer a request in time. The latency objective is
+    /// Returns `true` if an endpoint is predicted to answer a request in time. The latency objective is
     /// multiplied by `objective_factor`; a factor below 1 reserves capacity for other requests.
     pub(crate) fn admits(
         &self,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Records that a request was shed. Returns whether that should be logged.
+    /// Records that a request was shed. Returns `true` if that should be logged.
     pub(crate) fn record_shedding(&mut self, now: LocalInstant) -> bool {
         let should_log = self.shedding_log_muted_until.is_none_or(|until| now >= until);
         self.shedding_log_muted_until = Some(now + SHEDDING_LOG_INTERVAL);
@@ -128,7 +128,7 @@
     }
 }
 
-/// Returns whether a request is admitted regardless of its predicted latency, so that the estimates can
+/// Returns `true` if a request is admitted regardless of its predicted latency, so that the estimates can
 /// recover: while this pooler has fewer requests in flight at the endpoint than its share of
 /// [`UNCONDITIONAL_IN_FLIGHT`], and otherwise at the rate that this share would sustain at the predicted
 /// latency.
--- a/src/policy/cluster/clock.rs
+++ b/src/policy/cluster/clock.rs
@@ -26,7 +26,7 @@
 }
 
 impl OffsetInterval {
-    /// Returns whether the two intervals have an offset in common.
+    /// Returns `true` if the two intervals have an offset in common.
     fn overlaps(&self, other: &OffsetInterval) -> bool {
         self.min <= other.max && other.min <= self.max
     }
@@ -154,7 +154,7 @@
         time.to_local_instant(self.estimated_offset(now))
     }
 
-    /// Returns whether a log position is finite and may have been reached by `now`.
+    /// Returns `true` if a log position is finite and may have been reached by `now`.
     pub(crate) fn is_plausible(&self, position: LogPosition, now: LocalInstant) -> bool {
         let max_offset = self.known_max_offset(now).unwrap_or_default();
         position.as_secs().is_finite() && position <= now.to_cluster_instant(max_offset) + POSITION_ROUNDING
--- a/src/policy/cluster/group.rs
+++ b/src/policy/cluster/group.rs
@@ -94,7 +94,7 @@
         self.search.record_write(write);
     }
 
-    /// Returns whether the group has neither endpoints nor queued requests.
+    /// Returns `true` if the group has neither endpoints nor queued requests.
     pub(crate) fn is_empty(&self) -> bool {
         self.members.is_empty() && self.queue.is_empty()
     }
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -131,27 +131,27 @@
         self.endpoints[endpoint].load().in_flight_and_abandoned(self.now)
     }
 
-    /// Returns whether an endpoint is not ejected as an outlier.
+    /// Returns `true` if an endpoint is not ejected as an outlier.
     pub(crate) fn is_healthy(&self, endpoint: EndpointKey) -> bool {
         !self.endpoints[endpoint].health().is_ejected()
     }
 
-    /// Returns whether an endpoint is ejected and a trial request may be sent to it.
+    /// Returns `true` if an endpoint is ejected and a trial request may be sent to it.
     pub(crate) fn is_trial_due(&self, endpoint: EndpointKey) -> bool {
         self.endpoints[endpoint].health().is_trial_due(self.now)
     }
 
-    /// Returns whether an endpoint is in the pooler's own zone.
+    /// Returns `true` if an endpoint is in the pooler's own zone.
     pub(crate) fn is_local(&self, endpoint: EndpointKey) -> bool {
         self.endpoints[endpoint].listing().zone() == self.settings.zone
     }
 
-    /// Returns whether an endpoint is the known primary of its group.
+    /// Returns `true` if an endpoint is the known primary of its group.
     pub(crate) fn is_primary(&self, endpoint: EndpointKey) -> bool {
         self.endpoints.primary(self.endpoints[endpoint].listing().group()) == Some(endpoint)
     }
 
-    /// Returns whether new requests may be sent to an endpoint. A drain takes effect as soon as it is
+    /// Returns `true` if new requests may be sent to an endpoint. A drain takes effect as soon as it is
     /// announced.
     pub(crate) fn accepts_requests(&self, endpoint: EndpointKey) -> bool {
         let endpoint = &self.endpoints[endpoint];
--- a/src/policy/connection_shortage.rs
+++ b/src/policy/connection_shortage.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns whether idle connections should be closed now.
+    /// Returns `true` if idle connections should be closed now.
     pub(crate) fn is_active(&self, now: LocalInstant) -> bool {
         self.active_until.is_some_and(|until| now < until)
     }
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns whether the connection was refused immediately, rather than timing out.
+    /// Returns `true` if the connection was refused immediately, rather than timing out.
     pub(crate) fn is_connection_refused(&self) -> bool {
         let limit = self.settings.connect_timeout * REFUSAL_TIME_SHARE;
         self.result.outcome == Outcome::ConnectFailed && self.result.elapsed < limit
--- a/src/policy/endpoint/listing.rs
+++ b/src/policy/endpoint/listing.rs
@@ -102,7 +102,7 @@
         self.status
     }
 
-    /// Returns whether the list has announced that the endpoint is draining.
+    /// Returns `true` if the list has announced that the endpoint is draining.
     pub(crate) fn is_drain_announced(&self) -> bool {
         self.drain_announced
     }
--- a/src/policy/endpoint/mod.rs
+++ b/src/policy/endpoint/mod.rs
@@ -164,7 +164,7 @@
         self.last_response_at
     }
 
-    /// Returns whether the endpoint has not responded at or after `time`.
+    /// Returns `true` if the endpoint has not responded at or after `time`.
     pub(crate) fn has_not_responded_since(&self, time: LocalInstant) -> bool {
         self.last_response_at.is_none_or(|answered_at| answered_at < time)
     }
@@ -174,8 +174,8 @@
         self.newest_served_attempt_sent_at
     }
 
-    /// Returns whether the endpoint was removed from the list, has no attempt in flight, and was last listed
-    /// and used before `horizon`.
+    /// Returns `true` if the endpoint was removed from the list, has no attempt in flight, and was last
+    /// listed and used before `horizon`.
     pub(crate) fn may_be_purged(&self, horizon: LocalInstant) -> bool {
         let last_used = self.load.last_sent_at().max(Some(self.listing.last_listed_at()));
         let is_idle = self.load.in_flight() == 0 && last_used < Some(horizon);
--- a/src/policy/endpoint/outlier_detection.rs
+++ b/src/policy/endpoint/outlier_detection.rs
@@ -41,7 +41,7 @@
 }
 
 impl OutlierDetector {
-    /// Adds a failure to the score. Returns whether it ejects the endpoint.
+    /// Adds a failure to the score. Returns `true` if it ejects the endpoint.
     pub(crate) fn record_failure(
         &mut self,
         weight: f64,
@@ -72,7 +72,7 @@
         (BASE_EJECTION_TIME * doublings).min(MAX_EJECTION_TIME) * connect_timeout
     }
 
-    /// Records that a request was served. Returns whether this reinstates the endpoint.
+    /// Records that a request was served. Returns `true` if this reinstates the endpoint.
     pub(crate) fn record_success(&mut self, now: LocalInstant) -> bool {
         self.failure_score *= SUCCESS_SCORE_FACTOR;
         let is_reinstated = self.ejected_until.take().is_some();
@@ -117,7 +117,7 @@
         self.trial_in_flight
     }
 
-    /// Returns whether the endpoint is ejected and a trial request may be sent to it.
+    /// Returns `true` if the endpoint is ejected and a trial request may be sent to it.
     pub(crate) fn is_trial_due(&self, now: LocalInstant) -> bool {
         self.ejected_until.is_some_and(|until| now >= until) && !self.trial_in_flight
     }
--- a/src/policy/endpoint/replication.rs
+++ b/src/policy/endpoint/replication.rs
@@ -27,7 +27,7 @@
 }
 
 impl PrimaryClaim {
-    /// Returns whether the claim is dated earlier than `other`.
+    /// Returns `true` if the claim is dated earlier than `other`.
     pub(crate) fn is_older_than(&self, other: &PrimaryClaim) -> bool {
         match (self.at, other.at) {
             (Some(own), Some(other)) => own < other,
@@ -107,7 +107,7 @@
         self.stale_until = Some(until);
     }
 
-    /// Returns whether the endpoint is assumed to lag behind because it has rejected a read.
+    /// Returns `true` if the endpoint is assumed to lag behind because it has rejected a read.
     pub(crate) fn is_marked_stale(&self, now: LocalInstant) -> bool {
         self.stale_until.is_some_and(|until| now < until)
     }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns whether an endpoint whose known position is `position` meets the requirement.
+    /// Returns `true` if an endpoint whose known position is `position` meets the requirement.
     pub(crate) fn is_met_by(self, position: Option<LogPosition>) -> bool {
         match self {
             RequiredPosition::Any => true,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Returns whether an endpoint may have reached a position: its position is unknown, its lag at the last
+/// Returns `true` if an endpoint may have reached a position: its position is unknown, its lag at the last
 /// report would still allow it, or more time than this lag has passed since the report, so that it may have
 /// caught up.
 fn may_have_reached(endpoint: &EndpointState, required: RequiredPosition, cluster: &Cluster) -> bool {
@@ -118,7 +118,7 @@
     required.is_met_by(Some(cluster.estimated_now() - lag)) || may_have_caught_up
 }
 
-/// Returns whether an endpoint may lag too far behind for any bounded read, according to its reported
+/// Returns `true` if an endpoint may lag too far behind for any bounded read, according to its reported
 /// position, or has not reported any position.
 pub(crate) fn may_be_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let required = cluster.estimated_now() - cluster.shortest_staleness_bound();
@@ -138,8 +138,8 @@
     now + lag.clamp(Span::ZERO, max_lag).max(settings.connect_timeout)
 }
 
-/// Returns whether the log position of an endpoint should be refreshed by a health check: the endpoint is in
-/// the pooler's own zone and its position will soon be too old for reads, or the position is unknown and
+/// Returns `true` if the log position of an endpoint should be refreshed by a health check: the endpoint is
+/// in the pooler's own zone and its position will soon be too old for reads, or the position is unknown and
 /// endpoints serve stale reads, so that no read may be sent to learn it.
 pub(crate) fn needs_position_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness_bound() * REFRESH_AGE_SHARE;
--- a/src/policy/give_up.rs
+++ b/src/policy/give_up.rs
@@ -46,7 +46,7 @@
 }
 
 impl GiveUpReason {
-    /// Returns whether giving up for this reason is logged as load shedding.
+    /// Returns `true` if giving up for this reason is logged as load shedding.
     pub(crate) fn is_load_shedding(self) -> bool {
         matches!(self, GiveUpReason::NoCapacity | GiveUpReason::NoEndpoint)
     }
--- a/src/policy/primary/health_checks.rs
+++ b/src/policy/primary/health_checks.rs
@@ -34,7 +34,7 @@
         self.budget.deposit(CHECKS_PER_REQUEST);
     }
 
-    /// Returns whether a health check should refresh the log position of an endpoint now.
+    /// Returns `true` if a health check should refresh the log position of an endpoint now.
     pub(crate) fn is_refresh_due(&self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
         let last_sent_at = self.by_endpoint.get(endpoint).and_then(|checks| checks.last_sent_at);
         let is_due = last_sent_at.is_none_or(|at| cluster.now() - at > cluster.shortest_staleness_bound());
@@ -42,7 +42,7 @@
     }
 
     /// Starts a health check if the endpoint accepts requests, no other check of it is in flight, and the
-    /// budget allows one. Returns whether a check was started.
+    /// budget allows one. Returns `true` if a check was started.
     pub(crate) fn try_start(&mut self, endpoint: EndpointKey, cluster: &Cluster) -> bool {
         if !self.budget.has_token() || !cluster.accepts_requests(endpoint) {
             return false;
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -33,7 +33,7 @@
     newest.map(|(_, endpoint)| endpoint)
 }
 
-/// Returns whether a request has to stay queued. While the primary is busy, only requests that have missed
+/// Returns `true` if a request has to stay queued. While the primary is busy, only requests that have missed
 /// their latency objective are sent.
 pub(crate) fn must_stay_queued(
     request: &PendingRequest,
--- a/src/policy/primary/search.rs
+++ b/src/policy/primary/search.rs
@@ -34,7 +34,7 @@
         self.next_step_at = None;
     }
 
-    /// Returns whether a step is due now, and schedules the next one if so.
+    /// Returns `true` if a step is due now, and schedules the next one if so.
     pub(crate) fn step_if_due(&mut self, now: LocalInstant, connect_timeout: Span, rng: &mut Rng) -> bool {
         if self.next_step_at.is_none_or(|next| now < next) {
             return false;
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -188,7 +188,7 @@
         self.candidates.iter().copied().filter(|endpoint| Some(*endpoint) != self.primary)
     }
 
-    /// Returns whether the health and the slow start of an endpoint allow the read.
+    /// Returns `true` if the health and the slow start of an endpoint allow the read.
     fn is_available(&self, endpoint: EndpointKey) -> bool {
         let is_healthy = self.cluster.is_healthy(endpoint) || self.cluster.is_trial_due(endpoint);
         is_healthy && self.slow_start_admits(endpoint)
@@ -202,8 +202,8 @@
         freshness::freshness(self.cluster.endpoint(endpoint), self.required, self.cluster)
     }
 
-    /// Returns whether a replica is a candidate of step 1. A local replica that may be fresh gets one read at
-    /// a time, so that its log position becomes known.
+    /// Returns `true` if a replica is a candidate of step 1. A local replica that may be fresh gets one read
+    /// at a time, so that its log position becomes known.
     fn is_preferred(&self, replica: EndpointKey) -> bool {
         let is_idle = self.cluster.endpoint(replica).load().in_flight() == 0;
         let qualifies = match self.freshness(replica) {
@@ -232,7 +232,7 @@
         Some(remote_choice.unwrap_or(local_choice))
     }
 
-    /// Returns whether the load of an endpoint is so much higher than that of `other` that a read should be
+    /// Returns `true` if the load of an endpoint is so much higher than that of `other` that a read should be
     /// sent to `other` instead.
     fn should_spill_over(&self, endpoint: EndpointKey, other: EndpointKey) -> bool {
         let load = self.cluster.load(endpoint);
@@ -254,7 +254,7 @@
         self.cluster.class(self.request.class()).consistency == Consistency::Eventual
     }
 
-    /// Returns whether reads of this class take so long that they can block the replication of a replica.
+    /// Returns `true` if reads of this class take so long that they can block the replication of a replica.
     fn is_long_read(&self) -> bool {
         let mean_latency = self.admission.class_latency(self.request.class()).mean();
         self.is_eventual() && mean_latency > self.cluster.shortest_staleness_bound()
@@ -276,7 +276,7 @@
         *chosen.unwrap_or(&candidates[0])
     }
 
-    /// Returns whether an ejected endpoint may get the read. It qualifies if it is a replica that still
+    /// Returns `true` if an ejected endpoint may get the read. It qualifies if it is a replica that still
     /// answers other requests, or if no endpoint is healthy. A stale replica does not qualify.
     fn is_usable_ejected(&self, endpoint: EndpointKey) -> bool {
         if self.cluster.is_healthy(endpoint) {
@@ -289,7 +289,7 @@
         is_fresh_enough && may_answer && self.slow_start_admits(endpoint)
     }
 
-    /// Returns whether an endpoint has answered a request within the duration of the longest ejection, and
+    /// Returns `true` if an endpoint has answered a request within the duration of the longest ejection, and
     /// since its last connection failure.
     fn has_answered_recently(&self, endpoint: EndpointKey) -> bool {
         let longest_ejection = self.cluster.settings().connect_timeout * MAX_EJECTION_TIME;
@@ -298,7 +298,7 @@
         state.last_response_at() > since
     }
 
-    /// Returns whether an ejected endpoint may be tried before its ejection ends, because no endpoint is
+    /// Returns `true` if an ejected endpoint may be tried before its ejection ends, because no endpoint is
     /// healthy.
     fn may_be_tried_early(&self, endpoint: EndpointKey) -> bool {
         let none_is_healthy = !self.candidates.iter().any(|other| self.cluster.is_healthy(*other));
--- a/src/policy/request/attempt.rs
+++ b/src/policy/request/attempt.rs
@@ -43,7 +43,7 @@
         self.sent_at
     }
 
-    /// Returns whether the result has not been reported yet, even if the attempt was cancelled.
+    /// Returns `true` if the result has not been reported yet, even if the attempt was cancelled.
     pub(crate) fn is_in_flight(&self) -> bool {
         match self.state {
             AttemptState::InFlight
@@ -54,12 +54,12 @@
         }
     }
 
-    /// Returns whether the pooler has cancelled the attempt and its result has not been reported yet.
+    /// Returns `true` if the pooler has cancelled the attempt and its result has not been reported yet.
     pub(crate) fn is_cancelled(&self) -> bool {
         matches!(self.state, AttemptState::Cancelled | AttemptState::CancelledAndCounted)
     }
 
-    /// Returns whether the attempt is in flight and was counted as a failure of its endpoint.
+    /// Returns `true` if the attempt is in flight and was counted as a failure of its endpoint.
     pub(crate) fn is_counted_as_failure(&self) -> bool {
         matches!(self.state, AttemptState::CountedAsFailure | AttemptState::CancelledAndCounted)
     }
@@ -99,7 +99,7 @@
         self.state == AttemptState::NotSent
     }
 
-    /// Returns whether the attempt may have been executed or is still in flight.
+    /// Returns `true` if the attempt may have been executed or is still in flight.
     pub(crate) fn may_be_executed(&self) -> bool {
         self.is_in_flight() || self.state == AttemptState::PossiblyExecuted
     }
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -132,17 +132,17 @@
         self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
     }
 
-    /// Returns whether any attempt is in flight.
+    /// Returns `true` if any attempt is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Returns whether the request was sent to `endpoint` before, regardless of the outcome.
+    /// Returns `true` if the request was sent to `endpoint` before, regardless of the outcome.
     pub(crate) fn has_tried(&self, endpoint: EndpointKey) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint() == endpoint)
     }
 
-    /// Returns whether all attempts have ended without reaching an endpoint; true before the first one.
+    /// Returns `true` if all attempts have ended without reaching an endpoint, or if none was made yet.
     pub(crate) fn has_reached_no_endpoint(&self) -> bool {
         self.attempts.iter().all(Attempt::never_reached_endpoint)
     }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Marks the request as queued. Returns whether it was not queued before.
+    /// Marks the request as queued. Returns `true` if it was not queued before.
     pub(crate) fn enter_queue(&mut self) -> bool {
         std::mem::replace(&mut self.queue, QueueState::Queued) == QueueState::NotQueued
     }
@@ -178,7 +178,7 @@
         self.answer = AnswerState::Finished;
     }
 
-    /// Returns whether the final answer was given or is no longer needed.
+    /// Returns `true` if the final answer was given or is no longer needed.
     pub(crate) fn is_finished(&self) -> bool {
         self.answer == AnswerState::Finished
     }
--- a/src/policy/retry/budget.rs
+++ b/src/policy/retry/budget.rs
@@ -26,12 +26,12 @@
         self.tokens.deposit(TOKENS_PER_REQUEST);
     }
 
-    /// Withdraws a token for one retry. Returns whether one was available.
+    /// Withdraws a token for one retry if one is available. Returns `true` if it did.
     pub(crate) fn withdraw(&mut self) -> bool {
         self.tokens.try_withdraw()
     }
 
-    /// Returns whether a token is available.
+    /// Returns `true` if a token is available.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens.has_token()
     }
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// Returns whether the final answer is due: one tick before the deadline, after which no attempt could be
+/// Returns `true` if the final answer is due: one tick before the deadline, after which no attempt could be
 /// answered in time.
 fn is_final_answer_due(request: &PendingRequest, cluster: &Cluster) -> bool {
     cluster.now() + cluster.settings().tick >= request.context().deadline
@@ -143,7 +143,7 @@
     Ok(())
 }
 
-/// Returns whether a queued request may be sent as a search write (see [`crate::policy::primary::search`]).
+/// Returns `true` if a queued request may be sent as a search write (see [`crate::policy::primary::search`]).
 /// It must be a write that was not executed; a replica rejects writes without executing them.
 pub(crate) fn may_be_search_write(request: &PendingRequest, cluster: &Cluster) -> bool {
     let is_write = cluster.class(request.class()).is_write();
@@ -185,8 +185,8 @@
     may_cancel.then_some(Replacement::CancelAndRetry)
 }
 
-/// Returns whether a replacement could be answered in time. Only a lost answer is replaced after the latency
-/// objective has expired, since any other answer may still arrive.
+/// Returns `true` if a replacement could be answered in time. Only a lost answer is replaced after the
+/// latency objective has expired, since any other answer may still arrive.
 fn has_time_to_replace(
     request: &PendingRequest,
     cause: OverdueCause,
@@ -202,13 +202,13 @@
     useful_until - cluster.now() > mean_latency
 }
 
-/// Returns whether requests of this class may be hedged. Strong reads are not, since only the primary serves
-/// them.
+/// Returns `true` if requests of this class may be hedged. Strong reads are not, since only the primary
+/// serves them.
 fn allows_hedging(class: &RequestClass, settings: &Settings) -> bool {
     settings.hedging && class.consistency != Consistency::Strong
 }
 
-/// Returns whether the client may safely retry a request that the pooler has given up.
+/// Returns `true` if the client may safely retry a request that the pooler has given up.
 pub(crate) fn is_client_retry_safe(request: &PendingRequest, class: &RequestClass) -> bool {
     let is_harmless = match class.idempotency {
         Idempotency::Idempotent => true,
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns whether slow start admits a read to an endpoint. An endpoint in slow start gets the same
+    /// Returns `true` if slow start admits a read to an endpoint. An endpoint in slow start gets the same
     /// request at most once. `share` is the [`read_share`](Self::read_share) of its group.
     pub(crate) fn admits_read(
         &self,
@@ -114,8 +114,8 @@
         capacity >= 1.0 || self.admits_within_share(request, to, share * capacity, cluster)
     }
 
-    /// Returns whether slow start admits a request that needs the primary to an endpoint. An endpoint in slow
-    /// start gets the same request at most once.
+    /// Returns `true` if slow start admits a request that needs the primary to an endpoint. An endpoint in
+    /// slow start gets the same request at most once.
     pub(crate) fn admits_primary_request(
         &self,
         request: &PendingRequest,
--- a/src/policy/token_bucket.rs
+++ b/src/policy/token_bucket.rs
@@ -52,17 +52,17 @@
         self.refill(now);
     }
 
-    /// Returns whether the bucket contains at least one whole token.
+    /// Returns `true` if the bucket contains at least one whole token.
     pub(crate) fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Withdraws a token if the bucket contains a whole one. Returns whether it did.
+    /// Withdraws a token if the bucket contains a whole one. Returns `true` if it did.
     pub(crate) fn try_withdraw(&mut self) -> bool {
         self.has_token() && self.withdraw_saturating()
     }
 
-    /// Withdraws a token, or the remaining fraction of one. Returns whether a whole token was withdrawn.
+    /// Withdraws a token, or the remaining fraction of one. Returns `true` if a whole token was withdrawn.
     pub(crate) fn withdraw_saturating(&mut self) -> bool {
         let had_token = self.has_token();
         self.tokens = (self.tokens - 1.0).max(0.0);
--- a/src/policy/watch.rs
+++ b/src/policy/watch.rs
@@ -33,7 +33,7 @@
 }
 
 impl Watch {
-    /// Returns whether the watch has to be started now. If so, it is next due after [`START_TIMEOUT`], or
+    /// Returns `true` if the watch has to be started now. If so, it is next due after [`START_TIMEOUT`], or
     /// after the backoff if it fails earlier.
     pub(crate) fn start_if_due(&mut self, settings: &Settings, now: LocalInstant) -> bool {
         if !settings.watch_endpoints || self.is_open || now < self.retry_at {
