--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -106,10 +106,10 @@
     sim
 }
 
-/// No other endpoint can take the writes of a primary. A single connection that is silent or could not be
-/// established does not eject it; a second one does.
+/// No other endpoint can take the writes of a primary. A single connection that is unresponsive or could not
+/// be established does not eject it; a second one does.
 #[test]
-fn a_primary_is_ejected_only_at_the_second_silent_or_failed_connection() {
+fn a_primary_is_ejected_only_at_the_second_unresponsive_or_failed_connection() {
     let mut sim = simulation_with_responding_primary();
     for (id, endpoints) in [("1", vec![PRIMARY]), ("2", vec![PRIMARY]), ("3", vec![])] {
         assert_eq!(sent_endpoints(&sim.request(id, KEYED_WRITE)), endpoints, "{id}");
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -88,10 +88,10 @@
     assert_eq!(sent_endpoints(&actions).len(), 1);
 }
 
-/// Guards against sending a discovery write to the same endpoint repeatedly: a former primary that had come
+/// Guards against sending a search write to the same endpoint repeatedly: a former primary that had come
 /// back as a replica got each queued write up to eight times.
 #[test]
-fn a_discovery_write_is_sent_to_each_endpoint_at_most_once() {
+fn a_search_write_is_sent_to_each_endpoint_at_most_once() {
     let mut sim = Simulation::new(default_settings());
     sim.report_fresh(LOCAL_REPLICA);
     sim.report_fresh(REMOTE_REPLICA);
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -238,7 +238,7 @@
     assert_eq!(count_final_answers(&sim.actions), 1);
 }
 
-/// Guards against hedging a hedged attempt: when every attempt was silent, a read was in flight at all
+/// Guards against hedging a hedged attempt: when every endpoint was unresponsive, a read was in flight at all
 /// replicas at once.
 #[test]
 fn with_hedging_a_request_never_has_three_attempts_in_flight() {
