--- a/src/net/frontend/session/messages.rs
+++ b/src/net/frontend/session/messages.rs
@@ -40,7 +40,7 @@
             Ok(Some(IncomingMessage::Message(message))) => {
                 self.process_message(&message, cycle)?;
             }
-            Err(error) => self.reject_frame(error, cycle.context)?,
+            Err(error) => self.close_with_protocol_error(error, cycle.context)?,
         }
         Ok(MessageStatus::Processed)
     }
@@ -56,8 +56,12 @@
         }
     }
 
-    /// Reports a framing error to the client and closes its session.
-    fn reject_frame(&mut self, error: ProtocolError, context: &mut Context) -> Result<(), MustClose> {
+    /// Reports a protocol error to the client and closes its session.
+    fn close_with_protocol_error(
+        &mut self,
+        error: ProtocolError,
+        context: &mut Context,
+    ) -> Result<(), MustClose> {
         let code = match error {
             ProtocolError::Malformed => sqlstate::PROTOCOL_VIOLATION,
             ProtocolError::TooLong => sqlstate::PROGRAM_LIMIT_EXCEEDED,
