--- a/src/time/tests.rs
+++ b/src/time/tests.rs
@@ -2,17 +2,17 @@
 
 use super::{ClusterInstant, LocalInstant, Span};
 
-/// Returns a span of this many seconds.
+/// Returns a span of the given number of seconds.
 pub(crate) const fn secs(seconds: f64) -> Span {
     Span::from_secs(seconds)
 }
 
-/// Returns the instant on the pooler's clock this many seconds after its zero.
+/// Returns the instant `seconds` after the zero of the pooler's clock.
 pub(crate) const fn at(seconds: f64) -> LocalInstant {
     LocalInstant::from_secs(seconds)
 }
 
-/// Returns the instant on the endpoints' clock this many seconds after its zero.
+/// Returns the instant `seconds` after the zero of the endpoints' clock.
 pub(crate) const fn cluster_at(seconds: f64) -> ClusterInstant {
     ClusterInstant::from_secs(seconds)
 }
