--- a/src/net/frontend/idle.rs
+++ b/src/net/frontend/idle.rs
@@ -1,6 +1,6 @@
 //! Selects the idle connections to close while many connections are open.
 //!
-//! Otherwise, clients that keep a connection open after a single query would use up the connection limit.
+//! Without this, clients that keep a connection open after a single query would use up the connection limit.
 
 use std::time::{Duration, Instant};
 
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -1,4 +1,4 @@
-//! Detection of overdue attempts, and of whether the endpoint is unresponsive or the answer is lost.
+//! Detection of overdue attempts, and of whether the cause is an unresponsive endpoint or a lost answer.
 
 use crate::policy::admission::Admission;
 use crate::policy::cluster::{Cluster, EndpointKey};
--- a/src/policy/session/mod.rs
+++ b/src/policy/session/mod.rs
@@ -2,8 +2,8 @@
 //! reads.
 //!
 //! Depending on the settings, clients send the age of their session's last write with each read, or the
-//! pooler records the commits of each session. For a time of which it has no record, such as before a
-//! restart, it assumes that any session may have written.
+//! pooler records the commits of each session. For periods without records, such as before a restart, it
+//! assumes that any session may have written.
 
 mod table;
 
