--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The decision logic of the pooler, without any I/O. [`crate::interface`] defines its events and actions.
+//! The decision logic of the pooler, without any I/O. Its events and actions are in `src/interface`.
 //!
 //! [`Policy`] dispatches each event to the modules that it concerns and returns the resulting actions. Each
 //! module owns the state and the rules of one area:
