--- a/src/adapter/wire/decode/instance_messages.rs
+++ b/src/adapter/wire/decode/instance_messages.rs
@@ -51,7 +51,7 @@
             InstanceMessageName::AttemptFinished => {
                 Event::AttemptFinished(results::decode_attempt_result(fields, base_time)?)
             }
-            InstanceMessageName::HealthChecked => results::decode_health_check(fields, base_time)?,
+            InstanceMessageName::HealthCheckFinished => results::decode_health_check(fields, base_time)?,
             InstanceMessageName::ResponseStarted => Event::ResponseStarted { id: decode_request_id(fields)? },
             InstanceMessageName::ClientDisconnected => {
                 Event::ClientDisconnected { id: decode_request_id(fields)? }
--- a/src/adapter/wire/names.rs
+++ b/src/adapter/wire/names.rs
@@ -32,7 +32,7 @@
     /// An attempt ended.
     AttemptFinished,
     /// A health check ended.
-    HealthChecked,
+    HealthCheckFinished,
     /// A streamed response began.
     ResponseStarted,
     /// The client disconnected or cancelled its request.
@@ -51,7 +51,7 @@
             "arrival" => MessageName::Instance(InstanceMessageName::RequestReceived),
             "turn" => MessageName::SetTime,
             "yourTurn" => MessageName::EndOfBatch,
-            "echo" => MessageName::Instance(InstanceMessageName::HealthChecked),
+            "echo" => MessageName::Instance(InstanceMessageName::HealthCheckFinished),
             "members" => MessageName::Instance(InstanceMessageName::EndpointsUpdated),
             "accepted" => MessageName::Instance(InstanceMessageName::ResponseStarted),
             "cancelledByClient" => MessageName::Instance(InstanceMessageName::ClientDisconnected),
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -251,8 +251,8 @@
         Span::from_secs(bounds.get(class).copied().flatten().unwrap_or(0.0))
     }
 
-    /// Decodes `whenBehind`. The policy does not use `wait`, the time that an endpoint waits for recent data,
-    /// but the value is checked.
+    /// Decodes `whenBehind`. If it is `"wait"`, the field `wait` is checked: the time that an endpoint waits
+    /// for recent data, which the policy does not use.
     fn decode_stale_reads(&self) -> Result<StaleReadHandling, DecodeSettingsError> {
         match self.when_behind.as_deref() {
             Some("refuse") => Ok(StaleReadHandling::Reject),
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -13,8 +13,8 @@
         id: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Time limit for the answer. It ends before the client's deadline and, for a retry that relies on an
-        /// idempotency key, before endpoints stop dropping duplicates of the key.
+        /// Time limit for the answer. It ends before the client's deadline and, for a further attempt that
+        /// relies on an idempotency key, before endpoints stop dropping duplicates of the key.
         timeout: Span,
     },
     /// Cancel an attempt.
--- a/src/load_report.rs
+++ b/src/load_report.rs
@@ -31,7 +31,7 @@
     Some(report)
 }
 
-/// Splits a field into its name and its value. Returns `None` if the value is not a finite number.
+/// Splits a field into its name and its value. Returns `None` if the value is missing or not a finite number.
 fn parse_field(field: &str) -> Option<(&str, f64)> {
     let (name, value) = field.split_once('=')?;
     let value: f64 = value.trim().parse().ok()?;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -50,7 +50,7 @@
     pub latency_objective: Span,
     /// The latency objective is extended by the request's predicted work times this factor.
     pub latency_objective_factor: f64,
-    /// How long a client waits for an answer.
+    /// Longest time that a client waits for an answer.
     pub deadline: Span,
     /// How long duplicates with the same idempotency key are dropped.
     pub deduplication_window: Span,
--- a/src/settings/validation.rs
+++ b/src/settings/validation.rs
@@ -89,7 +89,7 @@
     require(staleness_in_range, || format!("specifics.stalenessBound[{index}]"), NON_NEGATIVE)
 }
 
-/// Checks that a number is finite and non-negative. For settings that the policy does not use.
+/// Checks that a setting that the policy does not use is finite and non-negative.
 pub(crate) fn require_non_negative(number: f64, field: &str) -> Result<(), SettingsError> {
     require(is_non_negative(number), || field.to_string(), NON_NEGATIVE)
 }
--- a/tests/examples.rs
+++ b/tests/examples.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Sends SIGTERM and waits for the pooler to exit. Returns whether it reports success.
+    /// Sends SIGTERM and waits for the pooler to exit. Returns `true` if it reports success.
     fn terminate(&mut self) -> bool {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill").args(["-s", "TERM", &pid]).status().unwrap().success());
--- a/tests/loopback/cancellation.rs
+++ b/tests/loopback/cancellation.rs
@@ -86,13 +86,13 @@
 /// elsewhere it could complete its current step before it notices the disconnect.
 #[cfg(target_os = "linux")]
 #[test]
-fn a_query_is_not_sent_if_its_client_has_disconnected_while_the_pooler_was_stopped() {
+fn a_query_is_not_sent_if_its_client_has_disconnected_while_the_pooler_was_suspended() {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut client = connect_client(&pooler);
     client.send(&Request::new("1", "reports").message());
     let mut backend = host.accept_unanswered_startup();
-    pooler.stop_while_idle();
+    pooler.suspend_while_idle();
     backend.complete_startup();
     // A drop could close the connection later: a child process that another test is starting briefly holds
     // copies of all descriptors.
--- a/tests/loopback/client_limits.rs
+++ b/tests/loopback/client_limits.rs
@@ -187,9 +187,9 @@
     pooler.signal(Signal::Stop);
     stalled.send(&query[..50_000]);
     pooler.signal(Signal::Continue);
-    stalled.stream.set_read_timeout(Some(INVALID_CLIENT_TIMEOUT)).unwrap();
+    stalled.stream.set_read_timeout(Some(ERROR_RESPONSE_TIMEOUT)).unwrap();
     stalled.expect_error("53200");
 }
 
 /// Time within which a client whose input cannot be processed must get an error or be disconnected.
-const INVALID_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+const ERROR_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
--- a/tests/loopback/client_protocol.rs
+++ b/tests/loopback/client_protocol.rs
@@ -131,7 +131,7 @@
 /// raises another event, so that one connection kept a CPU core busy for the second until it was closed.
 #[test]
 #[cfg(target_os = "linux")]
-fn a_connection_that_is_being_closed_uses_no_processor_time() {
+fn a_connection_that_is_being_closed_uses_little_cpu_time() {
     let host = DatabaseHost::new();
     let (pooler, _discovery) = start_with_one_host(&host, &[]);
     let mut broken: Vec<Connection> = (0..4).map(|_| connect_client(&pooler)).collect();
--- a/tests/loopback/deadlines.rs
+++ b/tests/loopback/deadlines.rs
@@ -14,8 +14,8 @@
     backend.expect_closed();
 }
 
-/// Guards against starting the deadline of a pipelined query only once the query before it is answered. It
-/// was then sent although its client had stopped waiting.
+/// Guards against starting the deadline of a pipelined query only once the query before it is answered. The
+/// pipelined query was then sent although its client had stopped waiting.
 #[test]
 fn the_deadline_of_a_query_runs_while_it_waits_behind_another() {
     let host = DatabaseHost::new();
--- a/tests/loopback/harness/pooler.rs
+++ b/tests/loopback/harness/pooler.rs
@@ -122,7 +122,7 @@
             let line = self
                 .log
                 .recv_timeout(EVENT_TIMEOUT)
-                .unwrap_or_else(|_| panic!("no log line contains '{text}'"));
+                .unwrap_or_else(|_| panic!("'{text}' was not logged in time"));
             if line.contains(text) {
                 return line;
             }
@@ -142,7 +142,7 @@
         assert!(self.signal_if_alive(signal));
     }
 
-    /// Sends a signal to the process. Returns whether the process still existed.
+    /// Sends a signal to the process. Returns `true` if the process still existed.
     pub fn signal_if_alive(&self, signal: Signal) -> bool {
         let process = self.child.id().to_string();
         Command::new("kill").args(["-s", signal.name(), &process]).status().unwrap().success()
@@ -152,7 +152,7 @@
     /// all earlier events. Events that occur while it is suspended are returned by a single poll after
     /// [`Signal::Continue`].
     #[cfg(target_os = "linux")]
-    pub fn stop_while_idle(&self) {
+    pub fn suspend_while_idle(&self) {
         self.wait_until_events_handled();
         self.wait_for_state(SLEEPING);
         self.signal(Signal::Stop);
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -3,7 +3,7 @@
 //! Each test starts the program as a child process between scripted clients, database hosts and a scripted
 //! discovery service. The unit tests in `src` cover the decisions; these tests cover what depends on real
 //! sockets and processes: partial reads, resets, half-closed connections, limits and signals.
-#![allow(clippy::unwrap_used, reason = "helper functions of tests fail a test by a panic")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test fails, also in its helper functions")]
 
 mod attempts;
 mod backend_pool;
--- a/tests/loopback/malformed_responses.rs
+++ b/tests/loopback/malformed_responses.rs
@@ -39,8 +39,8 @@
     let mut malformed = near.accept();
     malformed.receive_query();
     malformed.send(&response);
-    // The pooler closes the connection and retries the read on the other host. It does so on its own, long
-    // before the deadline of 8.5 s.
+    // The pooler closes the connection and retries the read on the other host, long before the deadline of
+    // 8.5 s.
     malformed.expect_closed();
     let mut backend = far.accept();
     backend.expect_request("1");
--- a/tests/loopback/soak/attempts.rs
+++ b/tests/loopback/soak/attempts.rs
@@ -51,7 +51,8 @@
         attempts.len() - 1
     }
 
-    /// Records that an attempt has ended and whether the host rejected it. The first recorded end counts.
+    /// Records that an attempt has ended and whether the host rejected it. If an end is recorded repeatedly,
+    /// the first time is kept.
     pub fn record_end(&self, id: &str, number: usize, is_rejected: bool) {
         let mut records = self.0.lock().unwrap();
         let attempt = &mut records.attempts.get_mut(id).unwrap()[number];
@@ -100,7 +101,8 @@
     }
 }
 
-/// Returns whether `other` was still in flight well after `attempt` started. An attempt overlaps itself.
+/// Returns `true` if `other` started no later than `attempt` and was still in flight well after that. An
+/// attempt overlaps itself.
 fn overlaps(other: &Attempt, attempt: &Attempt) -> bool {
     let is_earlier = other.started_at <= attempt.started_at;
     is_earlier && other.ended_at.is_none_or(|ended_at| ended_at > attempt.started_at + SCHEDULING_TOLERANCE)
--- a/tests/loopback/soak/client.rs
+++ b/tests/loopback/soak/client.rs
@@ -227,9 +227,9 @@
         sent.len()
     }
 
-    /// Returns whether the pooler may have closed the connection before it read a request. That is so if the
-    /// request was not sent, or was sent just before the close, which was not caused by a kill. With silent
-    /// clients, the pooler may also close a connection that was never used.
+    /// Returns `true` if the pooler may have closed the connection before it read a request: the request was
+    /// not sent, or was sent just before the close, which was not caused by a kill. With silent clients, the
+    /// pooler may also close a connection that was never used.
     fn may_be_unread(
         &self,
         connection: &PoolerConnection,
@@ -296,7 +296,7 @@
     close_seen_at
 }
 
-/// Returns whether the peer has closed the connection, even if responses before the close are unread. Does
+/// Returns `true` if the peer has closed the connection, even if responses before the close are unread. Does
 /// not block.
 fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut poll = Poll::new().unwrap();
--- a/tests/loopback/soak/host.rs
+++ b/tests/loopback/soak/host.rs
@@ -149,7 +149,7 @@
     random_duration(random, max)
 }
 
-/// Waits until `served_at`, and until the host no longer hangs. Returns whether the pooler has kept the
+/// Waits until `served_at`, and until the host no longer hangs. Returns `true` if the pooler has kept the
 /// connection open until then.
 fn wait_while_open(served_at: Instant, connection: &Connection, faults: &Mutex<Faults>) -> bool {
     let hang_until = || faults.lock().unwrap().hang_until.unwrap_or(served_at);
--- a/tests/loopback/soak/mod.rs
+++ b/tests/loopback/soak/mod.rs
@@ -32,16 +32,17 @@
 const SILENT_CLIENTS: usize = 60;
 /// Time after SIGTERM until new connections are opened to the next process.
 const HANDOVER_DELAY: Duration = Duration::from_millis(400);
-/// Time from the longest counted deadline after SIGTERM to the kill.
+/// The process is killed this long after SIGTERM plus the longest deadline, which counts up to
+/// [`MAX_COUNTED_DEADLINE`].
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Time after SIGTERM within which a sent request may be left unanswered by the kill. Later requests must be
-/// answered before it.
+/// A request that is sent within this time after SIGTERM may be left unanswered by the kill. A later one must
+/// be answered before the kill.
 const EXCUSED_WINDOW: Duration = Duration::from_millis(700);
 /// How long hosts hang during a shutdown: longer than the time from SIGTERM to SIGKILL.
 const SHUTDOWN_HANG: Duration = Duration::from_secs(6);
 /// The longest deadline in [`SETTINGS`].
 const LONGEST_DEADLINE: Duration = Duration::from_secs(4);
-/// The part of the longest deadline for which the kill waits at most.
+/// Longer deadlines do not delay the kill any further.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 
 /// Settings with short deadlines, a non-idempotent class and a deduplication window of half a second.
@@ -81,14 +82,14 @@
         PoolerProcess { address: pooler.address, shutdown_requested_at, killed_at }
     }
 
-    /// Returns whether the kill may leave a request unanswered that was sent at `sent_at`.
+    /// Returns `true` if the kill may leave a request unanswered that was sent at `sent_at`.
     pub fn may_leave_unanswered(&self, sent_at: Instant) -> bool {
         let shutdown_requested_at = *self.shutdown_requested_at.lock().unwrap();
         shutdown_requested_at
             .is_some_and(|shutdown_requested_at| sent_at < shutdown_requested_at + EXCUSED_WINDOW)
     }
 
-    /// Returns whether the process was sent SIGTERM.
+    /// Returns `true` if the process was sent SIGTERM.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_requested_at.lock().unwrap().is_some()
     }
@@ -97,7 +98,7 @@
         self.killed_at.lock().unwrap().is_some()
     }
 
-    /// Returns whether the process was killed before a connection was closed at `closed_at`.
+    /// Returns `true` if the process was killed before a connection was closed at `closed_at`.
     pub fn was_killed_before(&self, closed_at: Instant) -> bool {
         let killed_at = *self.killed_at.lock().unwrap();
         killed_at.is_some_and(|killed_at| closed_at >= killed_at)
--- a/tests/loopback/soak/violations.rs
+++ b/tests/loopback/soak/violations.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-/// The number of violations that are kept. The first ones are sufficient to find the cause.
+/// Maximum number of violations that are kept. The first ones are sufficient to find the cause.
 const MAX_VIOLATIONS: usize = 20;
 
 /// Descriptions of the violations, one line each.
--- a/tests/policy/invariants/checker.rs
+++ b/tests/policy/invariants/checker.rs
@@ -264,7 +264,8 @@
         }
     }
 
-    /// Checks that the endpoint is known to be fresh enough, if it would serve stale reads.
+    /// Checks that a strong read goes to the primary. If endpoints serve stale reads, also checks that the
+    /// endpoint of a session or bounded read is known to be fresh enough.
     fn check_consistency(
         &self,
         request: &RequestRecord,
--- a/tests/policy/invariants/coverage.rs
+++ b/tests/policy/invariants/coverage.rs
@@ -14,7 +14,7 @@
     pub hedged_requests: usize,
     /// Repeats, inside the deduplication window, of writes that may have been executed.
     pub keyed_repeats: usize,
-    /// Bounded and session reads sent to an endpoint other than the primary, with stale reads served.
+    /// Bounded and session reads sent to an endpoint other than the primary, if endpoints serve stale reads.
     pub reads_by_position: usize,
     /// Requests sent while an endpoint of their group was draining.
     pub sends_during_drain: usize,
--- a/tests/policy/invariants/hosts.rs
+++ b/tests/policy/invariants/hosts.rs
@@ -127,8 +127,8 @@
         listed.map(|host| host.entry.clone()).collect()
     }
 
-    /// Advances the log position of a random replica, and sometimes changes the condition or the role of an
-    /// endpoint.
+    /// May advance the log position of a random replica, and sometimes changes the condition or the role of
+    /// an endpoint.
     pub fn change_randomly(&mut self, now: f64, random: &mut fastrand::Rng) {
         let index = random.usize(..self.0.len());
         let host = &mut self.0[index];
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,7 +1,7 @@
 //! Tests of the routing policy through its public interface: events go in and actions come out.
 //!
 //! Each module covers one area of the policy. `harness` holds the shared helpers.
-#![allow(clippy::unwrap_used, reason = "a panic fails the test, also in helper functions")]
+#![allow(clippy::unwrap_used, reason = "a panic is how a test fails, also in its helper functions")]
 
 mod admission;
 mod endpoint_list;
--- a/tests/policy/primary.rs
+++ b/tests/policy/primary.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn without_health_checks_a_single_write_is_sent_to_discover_the_primary() {
+fn without_health_checks_a_single_search_write_is_sent() {
     let mut sim = Simulation::new(default_settings());
     sim.request("w0", KEYED_WRITE);
     demote_primary(&mut sim, "w0");
--- a/tests/policy/read_routing.rs
+++ b/tests/policy/read_routing.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_read_spills_over_only_to_less_than_half_the_load_and_three_requests_fewer() {
+fn a_read_spills_over_only_to_a_replica_with_less_than_half_the_load_and_three_requests_fewer() {
     let mut sim = Simulation::new(default_settings());
     sim.report_fresh(LOCAL_REPLICA);
     sim.report_fresh(REMOTE_REPLICA);
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -126,7 +126,7 @@
     assert!(actions.contains(&Action::Fail { id: "w".into() }));
 }
 
-/// Sends a write that gets no answer, and then twenty writes that are answered, if `later_writes_succeed`.
+/// Sends a write that gets no answer and then, if `later_writes_succeed`, twenty writes that are answered.
 /// Returns the simulation, and whether the attempt of the first write was cancelled.
 fn simulate_lost_answer(later_writes_succeed: bool) -> (Simulation, bool) {
     let mut sim = Simulation::new(default_settings());
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -15,9 +15,9 @@
 const REMOTE_REPLICAS: [&str; 4] = ["remote-1", "remote-2", "remote-3", "remote-4"];
 /// Requests per second that the whole fleet receives.
 const FLEET_RATE: f64 = 240.0;
-/// Simulated time of the fleet tests, in seconds.
+/// Simulated time of the fleet tests, in seconds, not counting the time before a burst.
 const FLEET_SECONDS: f64 = 6.0;
-/// Number of requests in the fleet tests.
+/// Number of requests in the fleet tests without a burst.
 const FLEET_REQUESTS: usize = (FLEET_SECONDS * FLEET_RATE) as usize;
 
 /// Returns the entry of a local replica that started at the given time.
