--- a/src/net/postgres/query.rs
+++ b/src/net/postgres/query.rs
@@ -57,7 +57,7 @@
     if is_blank(statement) {
         return Err(QueryError::MissingStatement);
     }
-    let fields = UnparsedFields::parse(&sql[comment.clone()], comment.start)?.validate()?;
+    let fields = UnparsedFields::split(&sql[comment.clone()], comment.start)?.validate()?;
     Ok(ParsedQuery::Query(Box::new(build_query(sql, statement, fields))))
 }
 
--- a/src/net/postgres/query_comment.rs
+++ b/src/net/postgres/query_comment.rs
@@ -9,7 +9,7 @@
 //! | `cluster` | group that holds the data | non-negative integer | yes | `group` |
 //! | `d` | how long the client waits | milliseconds, positive integer | yes | `timeout` |
 //! | `k` | idempotency key for the endpoint | text | if the class requires it | `has_idempotency_key` |
-//! | `r` | marks a retry by the client | any text; validated, then ignored | no | `client_retry` |
+//! | `r` | marks a retry by the client | any non-empty text; not used | no | `client_retry` |
 //! | `after` | commit time that the query must see | Unix time (ms); 0 for none | no | `session_token` |
 
 use std::ops::Range;
@@ -124,10 +124,10 @@
 }
 
 impl<'a> UnparsedFields<'a> {
-    /// Parses the text inside a comment; `start` is its byte offset in the query.
+    /// Splits the text inside a comment into fields; `start` is its byte offset in the query.
     ///
     /// Fails if a pair has no equals sign, or if a known field is empty or occurs twice.
-    pub fn parse(comment: &'a str, start: usize) -> Result<Self, CommentError> {
+    pub fn split(comment: &'a str, start: usize) -> Result<Self, CommentError> {
         let mut fields = UnparsedFields::default();
         let mut pair_start = start;
         for pair in comment.split(PAIR_SEPARATOR) {
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -84,7 +84,7 @@
 #[case::before_the_start(UNIX_SECONDS - 1.5, 0)]
 #[case::zero(0.0, 0)]
 #[case::minus_infinity(f64::NEG_INFINITY, 0)]
-fn policy_times_before_the_start_are_clamped_to_it(#[case] seconds: f64, #[case] millis: u64) {
+fn policy_time_converts_to_an_instant_not_before_the_start(#[case] seconds: f64, #[case] millis: u64) {
     let start = Instant::now();
     let clock = Clock::new(start, LocalInstant::from_secs(UNIX_SECONDS));
     assert_eq!(clock.instant_of(LocalInstant::from_secs(seconds)), start + Duration::from_millis(millis));
