--- a/src/net/backend/connection.rs
+++ b/src/net/backend/connection.rs
@@ -69,7 +69,7 @@
 }
 
 impl BackendConnection {
-    /// Creates a connection for `exchange` whose stream is still being established.
+    /// Creates a connection that is still being established, to be used for `exchange`.
     pub fn new(
         endpoint: EndpointId,
         address: SocketAddr,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns `true` if data has been received that was not processed as part of an exchange.
+    /// Returns `true` if received data is left unprocessed.
     pub fn has_unread_input(&self) -> bool {
         !self.input.is_empty()
     }
@@ -137,7 +137,7 @@
     }
 
     /// Returns `true` if an idle connection is still open and in sync. Reads from the socket, so that no
-    /// query is sent on a connection which the peer has closed but whose poll event is not handled yet.
+    /// query is sent on a connection that the peer has closed, even if that event is not handled yet.
     pub fn is_usable(&mut self) -> bool {
         let read = self.input.read_from(&mut self.stream);
         matches!(read, Ok(ReadStatus::WouldBlock)) && self.input.is_empty()
@@ -221,8 +221,9 @@
         }
     }
 
-    /// Writes the output until the socket would block. Fails if the query was not completely written by its
-    /// write deadline. Once it is written, the deadline of the exchange applies instead.
+    /// Writes the output until the socket would block. Fails if the connection is lost. Also fails, without
+    /// writing any more, if the query was not completely written by its write deadline. Once it is written,
+    /// the deadline of the exchange applies instead.
     fn write_output(&mut self, now: Instant) -> Result<(), ExchangeStatus> {
         let is_query_waiting = self.state.is_busy() && self.write_status() == WriteStatus::Pending;
         if is_query_waiting && now >= self.state_deadline {
@@ -258,7 +259,7 @@
     }
 
     /// Queues the query of an exchange. Fails, with none of the query sent, if the deadline has passed or the
-    /// buffer capacity is exhausted.
+    /// output buffer cannot hold the query.
     fn send_query(&mut self, exchange: Exchange, now: Instant) -> ExchangeStatus {
         let is_expired = now >= exchange.deadline();
         let query = exchange.query_message(now);
--- a/src/net/backend/mod.rs
+++ b/src/net/backend/mod.rs
@@ -226,7 +226,7 @@
         exchange.complete(&endpoint, outcome, reply, context);
     }
 
-    /// Counts malformed data, received either within a reply or while no request was pending.
+    /// Counts malformed data, received either during an exchange or on an idle connection.
     fn count_malformed(&mut self, id: ConnectionId, context: &mut Context) {
         let Some(connection) = self.pool.get_mut(id) else { return };
         if connection.is_idle() {
--- a/src/net/backend/pool.rs
+++ b/src/net/backend/pool.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of idle connections per endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 48;
-/// How long an endpoint is kept after it was removed from the endpoint list; far longer than any deadline.
+/// How long a removed endpoint is kept after an update last contained it; far longer than any deadline.
 const REMOVED_ENDPOINT_RETENTION: Duration = Duration::from_secs(60);
 
 /// An endpoint of the endpoint list.
@@ -62,9 +62,9 @@
         Pool { endpoints: HashMap::new(), connections: ConnectionTable::new(), max_connections }
     }
 
-    /// Applies an update of the endpoint list and returns the endpoints that no longer serve. Closes idle
-    /// connections to endpoints that have a new address, have restarted, drain or were removed: an endpoint
-    /// that was cut off from the network leaves its connections open but never answers.
+    /// Applies an update of the endpoint list and returns the endpoints that stop serving with it. Closes
+    /// idle connections to endpoints that have a new address, have restarted, drain or were removed: an
+    /// endpoint that was cut off from the network leaves its connections open but never answers.
     pub fn update_endpoints(
         &mut self,
         kind: UpdateKind,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Drops endpoints that were removed from the list at least [`REMOVED_ENDPOINT_RETENTION`] ago.
+    /// Drops removed endpoints that no update has contained for [`REMOVED_ENDPOINT_RETENTION`].
     fn forget_removed(&mut self, now: Instant) {
         self.endpoints.retain(|_, endpoint| {
             let unlisted = now.saturating_duration_since(endpoint.last_listed_at);
@@ -149,7 +149,8 @@
         self.endpoints.get(endpoint).map(|endpoint| endpoint.address)
     }
 
-    /// Takes the most recently used idle connection to an endpoint. Closes any unusable ones.
+    /// Takes the most recently used usable idle connection to an endpoint. Closes the unusable ones that were
+    /// used more recently.
     pub fn take_idle(&mut self, endpoint: &EndpointId) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get_mut(endpoint)?;
         while let Some(id) = endpoint.idle.pop() {
@@ -178,13 +179,13 @@
         }
     }
 
-    /// Ensures that one more connection can be opened, by closing an idle one if necessary. Returns `false`
-    /// if all connections are in use.
+    /// Ensures that one more connection can be opened, by closing an idle one if necessary. Returns `true` if
+    /// not all connections are in use.
     pub fn ensure_capacity(&mut self) -> bool {
         self.connections.len() < self.max_connections || self.evict_idle()
     }
 
-    /// Closes the idle connection that would expire first. Returns `false` if no connection is idle.
+    /// Closes the idle connection that would expire first. Returns `true` if there was one.
     fn evict_idle(&mut self) -> bool {
         let next_to_expire = self
             .connections
--- a/src/net/buffer/ring_buffer.rs
+++ b/src/net/buffer/ring_buffer.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Reserves `bytes` against the budget of this buffer, for data that outlives its place in the buffer.
+    /// Reserves `bytes` against the budget of this buffer, for data that is kept after its removal from the
+    /// buffer.
     pub fn reserve_memory(&self, bytes: usize) -> Result<MemoryReservation, CapacityExceeded> {
         self.reservation.reserve_separately(bytes)
     }
@@ -75,7 +76,7 @@
         self.total_received - self.len as u64
     }
 
-    /// Reads until the source would block, end of stream, or the buffer is full.
+    /// Reads until the source would block or ends, or the buffer is full.
     pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<ReadStatus> {
         loop {
             if self.len == self.storage.len() && self.reserve(1).is_err() {
@@ -187,7 +188,7 @@
         second.copy_from_slice(&self.storage[..second.len()]);
     }
 
-    /// Returns the index in `storage` of the next byte to be written. `storage` must not be empty.
+    /// Returns the index in `storage` at which the next byte is added. `storage` must not be empty.
     fn tail(&self) -> usize {
         (self.head + self.len) % self.storage.len()
     }
--- a/src/net/discovery/http_response.rs
+++ b/src/net/discovery/http_response.rs
@@ -134,7 +134,7 @@
     }
 }
 
-/// Validates that the response is a stream that ends only when the service ends it, and returns its framing.
+/// Checks that the response has status 200 and no fixed length, and returns the framing of its body.
 fn body_framing(response: &httparse::Response) -> Result<BodyFraming, WatchError> {
     let header = |name: &str| {
         let mut headers = response.headers.iter();
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -32,7 +32,7 @@
     budget: MemoryBudget,
     /// The version of the last received list.
     list_version: u64,
-    /// The last error; cleared when a list or heartbeat is received. A repeated error is logged only once.
+    /// The last error; cleared when a list or heartbeat is received. An equal error is not logged again.
     last_error: Option<WatchError>,
 }
 
@@ -52,13 +52,13 @@
     /// Replaces the watch with one at a new address. Does nothing if the address is unchanged.
     pub fn set_address(&mut self, address: SocketAddr, context: &mut Context) {
         if std::mem::replace(&mut self.address, address) != address {
-            // List versions are specific to a service, so the new one must send the complete list.
+            // List versions are specific to a service, so the new service must send the complete list.
             self.list_version = 0;
             self.open_watch(context);
         }
     }
 
-    /// Opens a watch and closes the current one, if any.
+    /// Opens a watch in place of the current one, if any.
     pub fn open_watch(&mut self, context: &mut Context) {
         self.close_current();
         if self.try_open_watch(context).is_err() {
@@ -124,7 +124,7 @@
         Ok(())
     }
 
-    /// Reports an empty delta if this is the first response to the request.
+    /// Reports an empty delta if this is the first message of the watch.
     fn apply_heartbeat(&mut self, id: ConnectionId, context: &mut Context) {
         if !self.mark_answered(id) {
             context.events.push_back(Event::EndpointsUpdated(UpdateKind::Delta, Vec::new()));
@@ -145,7 +145,7 @@
 
     /// Closes the watch if its deadline has passed: a connection that was cut off may still look open.
     pub fn timer_expired(&mut self, id: ConnectionId, context: &mut Context) {
-        // Received bytes whose readiness event has not been handled yet also extend the deadline.
+        // Data already received still counts, even if its poll event is not handled yet.
         self.ready(id, context);
         let Some(watch) = self.watches.get_mut(id) else { return };
         let deadline = watch.deadline();
--- a/src/net/discovery/watch.rs
+++ b/src/net/discovery/watch.rs
@@ -24,8 +24,8 @@
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 /// A watch is closed if a list that has begun is not complete after this time.
 const LIST_TIMEOUT: Duration = Duration::from_millis(2800);
-/// Factor by which the timeouts of a watch are extended if it follows a failed one, since the service may be
-/// slow.
+/// Factor by which the head and list timeouts of a watch are extended if it follows a failed one, since the
+/// service may be slow.
 const RETRY_TIMEOUT_FACTOR: f64 = 2.5;
 
 /// Limits on the duration of the parts of a watch response.
--- a/src/net/frontend/connection.rs
+++ b/src/net/frontend/connection.rs
@@ -77,7 +77,7 @@
         !self.cycle_scheduled && self.session.is_drained()
     }
 
-    /// Reads, processes and writes until the connection would block.
+    /// Reads, processes and writes until the connection would block or a limit of the cycle is reached.
     pub(super) fn run_cycle(
         &mut self,
         id: ConnectionId,
--- a/src/net/frontend/connection_limit.rs
+++ b/src/net/frontend/connection_limit.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to the connection limit, and beyond it in place of half-closed or idle connections.
+//! Accepts connections up to the connection limit. At the limit, each replaces a half-closed or idle one.
 
 use std::ops::ControlFlow;
 
@@ -54,8 +54,8 @@
         };
         match self.acceptor.accept(now, &mut context.reactor) {
             AcceptStatus::Accepted(stream) => {
-                // The old connection is closed only after the new one is accepted. Until then, the new one
-                // occupies a spare file descriptor.
+                // The old connection is closed only after the new one is accepted, which briefly takes a
+                // reserved file descriptor.
                 if let Some(id) = evicted {
                     self.connections.remove(id);
                 }
--- a/src/net/frontend/deadline.rs
+++ b/src/net/frontend/deadline.rs
@@ -62,8 +62,9 @@
         self.current.is_some_and(|current| now >= current.expires_at)
     }
 
-    /// Sets a new deadline at `now` if `action` differs from the current one, and removes the deadline if no
-    /// action is expected any more. Returns when a new deadline expires; the caller must set a timer for it.
+    /// Sets a new deadline, counted from `now`, if `action` differs from the current one, and removes the
+    /// deadline if no action is expected any more. Returns when a new deadline expires; the caller must set a
+    /// timer for it.
     pub(super) fn update(&mut self, action: Option<ExpectedAction>, now: Instant) -> Option<Instant> {
         if action == self.current.map(|current| current.action) {
             return None;
--- a/src/net/frontend/idle.rs
+++ b/src/net/frontend/idle.rs
@@ -31,8 +31,7 @@
         Some(IdleConnection { id, timeout })
     }
 
-    /// Returns `true` if `session`, which must be that of this connection, has still been idle for the
-    /// timeout.
+    /// Returns `true` if the connection has been idle for its timeout at `now`. `session` is its session.
     pub(super) fn is_still_idle(&self, session: &Session, now: Instant) -> bool {
         session.has_been_idle_for(self.timeout, now)
     }
--- a/src/net/frontend/log_limiter.rs
+++ b/src/net/frontend/log_limiter.rs
@@ -14,7 +14,7 @@
 }
 
 impl LogLimiter {
-    /// Records an occurrence at `now` and returns `true` if it is to be logged.
+    /// Records an occurrence at `now`. Returns `true` if it is to be logged.
     pub(super) fn should_log(&mut self, now: Instant) -> bool {
         let should_log = self.suppressed_until.is_none_or(|suppressed_until| now >= suppressed_until);
         self.suppressed_until = Some(now + QUIET_PERIOD);
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -10,7 +10,7 @@
 use crate::interface::{EndpointId, LoadReport, Outcome, RequestId, Role, UpdateKind};
 use crate::time::{ClusterInstant, LogPosition};
 
-/// Sent to the client in BackendKeyData; the client presents it again in a CancelRequest.
+/// Key that a client receives in BackendKeyData and sends in a CancelRequest to cancel its query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CancelKey {
     /// Process ID of the server process in PostgreSQL. The pooler sends a random number instead.
--- a/src/net/pooler/reload.rs
+++ b/src/net/pooler/reload.rs
@@ -44,7 +44,7 @@
         is_transient
     }
 
-    /// Uses up one retry. Returns `false` if none was left.
+    /// Uses up one retry. Returns `true` if one was left.
     fn take_retry(&mut self) -> bool {
         let is_due = self.retries_left > 0;
         self.retries_left = self.retries_left.saturating_sub(1);
--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -34,7 +34,7 @@
 /// The reserved file descriptors, and one each for a client and an endpoint.
 const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2;
 
-/// Why the pooler failed to start or stopped.
+/// Why the pooler failed to start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
     /// The policy rejected its settings.
--- a/src/net/postgres/backend_messages.rs
+++ b/src/net/postgres/backend_messages.rs
@@ -19,7 +19,8 @@
 /// The body of a ReadyForQuery outside of a transaction block.
 const READY_FOR_QUERY_BODY: [u8; 1] = [TRANSACTION_STATUS_IDLE];
 
-/// The offset of the value in a DataRow: two bytes for the column count and four for the value length.
+/// The offset of the value in the body of a DataRow, after the column count (two bytes) and the value length
+/// (four bytes).
 pub(super) const COLUMN_VALUE_OFFSET: usize = 6;
 /// The column count of one that a RowDescription and a DataRow start with.
 const ONE_COLUMN: [u8; 2] = [0, 1];
@@ -56,7 +57,7 @@
     }
 }
 
-/// Returns `true` if a DataRow has one column that fills the entire body. `start` must hold at least the
+/// Returns `true` if a DataRow has one column that fills the entire body. `start` needs to hold only the
 /// bytes that precede the value; `body_length` is in bytes.
 pub(super) fn has_one_column(start: &[u8], body_length: usize) -> bool {
     let Some((columns, rest)) = start.split_first_chunk() else { return false };
--- a/src/net/postgres/sqlstate.rs
+++ b/src/net/postgres/sqlstate.rs
@@ -11,7 +11,8 @@
 pub const SYSTEM_ERROR: &str = "58000";
 /// To a client: the query or its comment cannot be parsed.
 pub const SYNTAX_ERROR: &str = "42601";
-/// To a client: the query cannot be executed with the fields in its comment.
+/// To a client: the query cannot be executed with the fields in its comment, or an endpoint rejected the
+/// statement.
 pub const INVALID_PARAMETER_VALUE: &str = "22023";
 /// To a client: the pooler does not support this protocol feature.
 pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
--- a/src/net/shutdown.rs
+++ b/src/net/shutdown.rs
@@ -13,8 +13,8 @@
 //! | listener and last client connection are closed | The process exits. (6) | `Pooler::is_finished` |
 //!
 //! 1. Connections and queries are accepted as before, to give clients time to learn of the shutdown.
-//! 2. The listener's backlog is accepted before the listener is closed. Closing it first would reset these
-//!    connections and lose the queries already sent on them.
+//! 2. The connections in the accept queue are accepted before the listener is closed. Closing it first would
+//!    reset them and lose the queries already sent on them.
 //! 3. The process may be killed before such a query completes. Queries received earlier are executed.
 //! 4. A request is blocking if its connection has unread input behind it, whether or not that input holds a
 //!    complete query (head-of-line blocking). It gets its final response early, so that the queries behind it
@@ -36,7 +36,7 @@
 const RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Time from the longest deadline to the earliest kill.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The kill waits for the longest deadline, but at most this long.
+/// Maximum part of the longest deadline that the kill waits for, in addition to [`KILL_DELAY`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Period before the earliest kill in which no query may wait behind another.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
