--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -65,7 +65,7 @@
 }
 
 impl ConnectionLimits {
-    /// Splits the configured number of file descriptors evenly between clients and endpoints, since a client
+    /// Splits the file descriptors that are not reserved evenly between clients and endpoints, since a client
     /// usually has one attempt in flight. Hedged requests and health checks share the backend's half; once it
     /// is used up, attempts end as [`NotSent`](crate::interface::Outcome::NotSent).
     fn new(descriptors: usize) -> Result<ConnectionLimits, ServeError> {
