--- a/src/net/pooler/startup.rs
+++ b/src/net/pooler/startup.rs
@@ -34,7 +34,7 @@
 /// The reserved file descriptors, and one each for a client and an endpoint.
 const MIN_DESCRIPTORS: usize = RESERVED_DESCRIPTORS + 2;
 
-/// Why the pooler failed to start or stopped.
+/// Why the pooler failed to start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ServeError {
     /// The policy rejected its settings.
@@ -65,7 +65,7 @@
 }
 
 impl ConnectionLimits {
-    /// Splits the configured number of file descriptors evenly between clients and endpoints, since a client
+    /// Splits the file descriptors that are not reserved evenly between clients and endpoints, since a client
     /// usually has one attempt in flight. Hedged requests and health checks share the backend's half; once it
     /// is used up, attempts end as [`NotSent`](crate::interface::Outcome::NotSent).
     fn new(descriptors: usize) -> Result<ConnectionLimits, ServeError> {
