--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -28,7 +28,7 @@
         }
         self.record_request(&request);
         let now = self.cluster.now();
-        let context = self.context_of(&request);
+        let context = self.create_context(&request);
         let queue_deadline = context.queue_deadline;
         let final_answer_at = (context.deadline - self.cluster.settings().tick).max(now);
         let key = self.requests.insert(PendingRequest::new(request, context));
@@ -51,7 +51,7 @@
         }
     }
 
-    fn context_of(&mut self, request: &Request) -> RequestContext {
+    fn create_context(&mut self, request: &Request) -> RequestContext {
         let now = self.cluster.now();
         let class = self.cluster.class(request.class);
         // The class limits the deadline that a request may ask for.
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -7,7 +7,7 @@
 
 impl Policy {
     /// Handles the end of a health check.
-    pub(crate) fn health_checked(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
+    pub(crate) fn health_check_finished(&mut self, id: &EndpointId, outcome: Outcome, report: &LoadReport) {
         let Some(endpoint) = self.cluster.endpoints().key(id) else { return };
         self.health_checks.record_finished(endpoint);
         match outcome {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -127,7 +127,7 @@
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
             Event::HealthCheckFinished { endpoint, outcome, report } => {
-                self.health_checked(&endpoint, outcome, &report);
+                self.health_check_finished(&endpoint, outcome, &report);
             }
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
