--- a/src/policy/admission/mod.rs
+++ b/src/policy/admission/mod.rs
@@ -84,8 +84,9 @@
         cluster.endpoint(to).load().predict_latency(class_mean, cluster.now())
     }
 
-    /// Returns `true` if an endpoint is predicted to answer a request in time. The latency objective is
-    /// multiplied by `objective_factor`; a factor below 1 reserves capacity for other requests.
+    /// Returns `true` if an endpoint is predicted to answer a request in time, or the prediction is ignored
+    /// (see [`admits_unconditionally`]). The latency objective is multiplied by `objective_factor`; a factor
+    /// below 1 reserves capacity for other requests.
     pub(crate) fn admits(
         &self,
         request: &PendingRequest,
@@ -129,9 +130,9 @@
 }
 
 /// Returns `true` if a request is admitted regardless of its predicted latency, so that the estimates can
-/// recover: while this pooler has fewer requests in flight at the endpoint than its share of
-/// [`UNCONDITIONAL_IN_FLIGHT`], and otherwise at the rate that this share would sustain at the predicted
-/// latency.
+/// recover: while this pooler's requests in flight at the endpoint, this one included, do not exceed its
+/// share of [`UNCONDITIONAL_IN_FLIGHT`], and otherwise at the rate that this share would sustain at the
+/// predicted latency.
 fn admits_unconditionally(to: EndpointKey, predicted: Span, cluster: &Cluster) -> bool {
     let load = cluster.endpoint(to).load();
     let pooler_share = UNCONDITIONAL_IN_FLIGHT / f64::from(cluster.settings().pooler_count);
--- a/src/policy/cluster/endpoint_table.rs
+++ b/src/policy/cluster/endpoint_table.rs
@@ -62,8 +62,8 @@
         self.group(group)?.primary()
     }
 
-    /// Removes groups without endpoints and queued requests, which would accumulate if lists keep naming new
-    /// groups.
+    /// Removes groups with neither endpoints nor queued requests. Such groups would accumulate if lists kept
+    /// naming new ones.
     pub(crate) fn remove_empty_groups(&mut self) {
         self.groups.retain(|_, group| !group.is_empty());
     }
--- a/src/policy/cluster/group.rs
+++ b/src/policy/cluster/group.rs
@@ -1,4 +1,4 @@
-//! A replication group: its endpoints, its primary, and the requests that wait for a primary.
+//! A replication group: its endpoints, its primary, and its queued requests.
 
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 pub(crate) struct Group {
     members: Vec<EndpointKey>,
     primary: Option<EndpointKey>,
-    /// Requests that wait for the primary, in order of arrival.
+    /// Requests that cannot be sent yet, in the order in which they were queued.
     queue: VecDeque<RequestKey>,
     search: PrimarySearch,
     last_request_at: LocalInstant,
@@ -38,8 +38,8 @@
         self.primary
     }
 
-    /// Sets the primary. Stops the search for a primary if this one is ready, and starts or continues it
-    /// otherwise.
+    /// Sets the primary. Stops the search for a primary if this one is ready; otherwise starts it, unless it
+    /// is in progress or the group has no endpoints.
     pub(crate) fn set_primary(&mut self, primary: Option<EndpointKey>, is_ready: bool, now: LocalInstant) {
         self.primary = primary;
         if is_ready {
@@ -66,7 +66,7 @@
         self.last_request_at
     }
 
-    /// Returns the requests that wait for the primary, in order of arrival.
+    /// Returns the requests that cannot be sent yet, in the order in which they were queued.
     pub(crate) fn queue(&self) -> &VecDeque<RequestKey> {
         &self.queue
     }
--- a/src/policy/cluster/mod.rs
+++ b/src/policy/cluster/mod.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns the number of attempts that this pooler has in flight at an endpoint, including abandoned
-    /// ones that may still be executing.
+    /// ones that still count as load.
     pub(crate) fn load(&self, endpoint: EndpointKey) -> u32 {
         self.endpoints[endpoint].load().in_flight_and_abandoned(self.now)
     }
--- a/src/policy/connection_shortage.rs
+++ b/src/policy/connection_shortage.rs
@@ -10,7 +10,7 @@
 /// Tracks whether endpoints are assumed to be short of connections.
 #[derive(Default)]
 pub(crate) struct ConnectionShortage {
-    /// End of the assumed shortage; `None` if no endpoint has refused a connection.
+    /// End of the latest assumed shortage; `None` if there was none.
     active_until: Option<LocalInstant>,
 }
 
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Gives up a request whose final answer is due or whose queue time has expired. Each request has a timer
-    /// for both; the current time tells which one expired.
+    /// Gives up a request if its final answer is due, or if its queue time has expired and it has reached no
+    /// endpoint. There is a timer for each of the two; the current time tells which one expired.
     pub(crate) fn request_timer_expired(&mut self, key: RequestKey) {
         let Some(request) = self.requests.unfinished_mut(key) else { return };
         let final_timer_tolerance = FINAL_TIMER_TOLERANCE_TICKS * self.cluster.settings().tick;
@@ -125,7 +125,8 @@
     }
 
     /// Starts an attempt; no attempt is started anywhere else. Does nothing if the earlier attempts forbid
-    /// another one or the endpoint has moved to another group; the request is then given up by its timers.
+    /// another one or the endpoint has moved to another group; the timers of the request still guarantee its
+    /// final answer.
     pub(crate) fn send(&mut self, key: RequestKey, to: EndpointKey) {
         let now = self.cluster.now();
         let endpoint = self.cluster.endpoint(to);
--- a/src/policy/endpoint/evidence.rs
+++ b/src/policy/endpoint/evidence.rs
@@ -20,9 +20,10 @@
 //! | no response | [`EJECTION_SCORE`]; [`CONNECTION_FAILURE_WEIGHT`] for 1 late attempt at a primary | | | |
 //! | failed health check, not for lack of capacity | [`FAILURE_WEIGHT`] | | | |
 //!
-//! An endpoint is unresponsive as long as it has sent no response since the attempt was sent. Each response
-//! also carries the role and the log position of the endpoint. A refused connection may mean that the
-//! endpoint has no connections left, see
+//! An endpoint is unresponsive as long as it has sent no response since the attempt was sent. The row
+//! "no response" applies while the attempt is in flight, see [`overdue`](crate::policy::overdue). Each
+//! response also carries the role and the log position of the endpoint. A refused connection may mean that
+//! the endpoint has no connections left, see
 //! [`ConnectionShortage`](crate::policy::connection_shortage::ConnectionShortage).
 //!
 //! [`EndpointState::apply_evidence`] applies the evidence. A restart resets the health of the endpoint, see
--- a/src/policy/endpoint/listing.rs
+++ b/src/policy/endpoint/listing.rs
@@ -16,7 +16,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Restart {
     NotDetected,
-    /// The endpoint has restarted: slow start applies, and its health state is reset.
+    /// The list reports a later start than before, or the first one: slow start applies, and the health state
+    /// is reset.
     Detected,
 }
 
--- a/src/policy/endpoint/load.rs
+++ b/src/policy/endpoint/load.rs
@@ -6,13 +6,13 @@
 const MAX_LATENCY_RATIO: f64 = 10.0;
 /// Lower limit of the latency ratio in predictions.
 const MIN_PREDICTED_RATIO: f64 = 0.5;
-/// Weight of a new sample in the running means; they cover about ten responses.
+/// Weight of a new sample in the running means; they cover about ten samples.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// The attempts that this pooler has in flight at an endpoint, and the relative latency of the endpoint.
 pub(crate) struct EndpointLoad {
     in_flight: u32,
-    /// Abandoned attempts that may still be executing; each counts as load until the given time.
+    /// Until when each abandoned or rejected attempt counts as load.
     abandoned_until: Vec<LocalInstant>,
     /// Running mean of the number of attempts in flight, sampled whenever one more is sent.
     mean_in_flight: f64,
@@ -68,7 +68,7 @@
         self.in_flight
     }
 
-    /// Returns the number of attempts in flight, including abandoned ones that may still be executing.
+    /// Returns the number of attempts in flight, including abandoned ones that still count as load.
     pub(crate) fn in_flight_and_abandoned(&self, now: LocalInstant) -> u32 {
         let abandoned = self.abandoned_until.iter().filter(|until| **until > now).count();
         self.in_flight + abandoned as u32
--- a/src/policy/endpoint/outlier_detection.rs
+++ b/src/policy/endpoint/outlier_detection.rs
@@ -41,7 +41,7 @@
 }
 
 impl OutlierDetector {
-    /// Adds a failure to the score. Returns `true` if it ejects the endpoint.
+    /// Adds a failure to the score. Returns `true` if it newly ejects the endpoint.
     pub(crate) fn record_failure(
         &mut self,
         weight: f64,
--- a/src/policy/failover.rs
+++ b/src/policy/failover.rs
@@ -6,12 +6,13 @@
 use crate::policy::primary::{self, search};
 use crate::policy::Policy;
 
-/// A group without requests for this time counts as idle, in multiples of the connect timeout. The log
+/// Time without requests after which a group counts as idle, in multiples of the connect timeout. The log
 /// positions of idle groups are not refreshed.
 const GROUP_IDLE_TIMEOUT: f64 = MAX_EJECTION_TIME;
 
 impl Policy {
-    /// Sets the primary of a group to the endpoint with the newest claim, and dispatches queued requests.
+    /// Sets the primary of a group to the usable endpoint with the newest claim, and dispatches queued
+    /// requests.
     pub(crate) fn update_primary(&mut self, group_id: u32) {
         let Some(group) = self.cluster.group(group_id) else { return };
         let primary = primary::newest_claimant(group, &self.cluster);
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Takes the next step of the search for a lost primary if one is due, and refreshes the log positions of
-    /// the replicas of the group.
+    /// Takes the next step of the search for a lost primary if one is due and requests are queued. Where
+    /// health checks are allowed, also refreshes log positions of the group.
     pub(crate) fn continue_primary_search(&mut self, group_id: u32) {
         let now = self.cluster.now();
         let connect_timeout = self.cluster.settings().connect_timeout;
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -104,9 +104,9 @@
     }
 }
 
-/// Returns `true` if an endpoint may have reached a position: its position is unknown, its lag at the last
-/// report would still allow it, or more time than this lag has passed since the report, so that it may have
-/// caught up.
+/// Returns `true` if an endpoint may have reached a position: its own position is unknown, it has reached the
+/// position if its lag has not changed since its last report, or more time than this lag has passed since, so
+/// that it may have caught up.
 fn may_have_reached(endpoint: &EndpointState, required: RequiredPosition, cluster: &Cluster) -> bool {
     let (Some(lag), Some(reported_at)) = (
         endpoint.replication().lag_at_report(cluster.clock()),
@@ -118,8 +118,8 @@
     required.is_met_by(Some(cluster.estimated_now() - lag)) || may_have_caught_up
 }
 
-/// Returns `true` if an endpoint may lag too far behind for any bounded read, according to its reported
-/// position, or has not reported any position.
+/// Returns `true` if an endpoint may lag behind by more than the shortest staleness bound, according to its
+/// reported position, or has not reported any position.
 pub(crate) fn may_be_behind(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let required = cluster.estimated_now() - cluster.shortest_staleness_bound();
     endpoint.replication().log_position().is_none_or(|position| position < required)
@@ -139,8 +139,8 @@
 }
 
 /// Returns `true` if the log position of an endpoint should be refreshed by a health check: the endpoint is
-/// in the pooler's own zone and its position will soon be too old for reads, or the position is unknown and
-/// endpoints serve stale reads, so that no read may be sent to learn it.
+/// in the pooler's own zone and its position is unknown or will soon be too old for reads; or, in any zone,
+/// the position is unknown and endpoints serve stale reads, so that no read may be sent to learn it.
 pub(crate) fn needs_position_refresh(endpoint: &EndpointState, cluster: &Cluster) -> bool {
     let max_age = cluster.shortest_staleness_bound() * REFRESH_AGE_SHARE;
     let is_local = endpoint.listing().zone() == cluster.settings().zone;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Returns the number of endpoints kept in memory, including recently removed ones.
+    /// Returns the number of endpoints for which memory is allocated, including removed ones.
     pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slot_count()
     }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -20,7 +20,7 @@
 pub(crate) struct OverdueCause {
     /// The endpoint has sent no response since the attempt was sent.
     pub(crate) is_endpoint_unresponsive: bool,
-    /// The answer is presumed lost: the endpoint has answered attempts that were sent much later.
+    /// The answer is presumed lost: the endpoint has served an attempt that was sent much later.
     pub(crate) is_answer_lost: bool,
 }
 
--- a/src/policy/primary/mod.rs
+++ b/src/policy/primary/mod.rs
@@ -19,7 +19,7 @@
 /// Queued requests are dispatched while the primary has fewer requests in flight than this.
 const MAX_IN_FLIGHT_WHEN_DEQUEUING: u32 = 6;
 
-/// Returns the endpoint with the newest claim to be the primary of a group.
+/// Returns the usable endpoint with the newest claim to be the primary of a group.
 pub(crate) fn newest_claimant(group: &Group, cluster: &Cluster) -> Option<EndpointKey> {
     let list_age = cluster.settings().max_watch_gap * LISTED_ROLE_AGE_SHARE;
     let mut newest: Option<(PrimaryClaim, EndpointKey)> = None;
--- a/src/policy/read_routing.rs
+++ b/src/policy/read_routing.rs
@@ -31,7 +31,7 @@
 use crate::time::LocalInstant;
 
 /// A read spills over to another zone if the load of the local replica is more than this multiple of the load
-/// of the least loaded remote replica, and exceeds it by [`SPILLOVER_MIN_DIFFERENCE`].
+/// of the least loaded remote replica, and exceeds it by at least [`SPILLOVER_MIN_DIFFERENCE`].
 const SPILLOVER_LOAD_FACTOR: u32 = 2;
 /// Minimum difference in requests in flight for a spillover.
 const SPILLOVER_MIN_DIFFERENCE: u32 = 3;
@@ -254,7 +254,8 @@
         self.cluster.class(self.request.class()).consistency == Consistency::Eventual
     }
 
-    /// Returns `true` if reads of this class take so long that they can block the replication of a replica.
+    /// Returns `true` if the read has eventual consistency and its class takes so long that it can block the
+    /// replication of a replica.
     fn is_long_read(&self) -> bool {
         let mean_latency = self.admission.class_latency(self.request.class()).mean();
         self.is_eventual() && mean_latency > self.cluster.shortest_staleness_bound()
@@ -277,7 +278,7 @@
     }
 
     /// Returns `true` if an ejected endpoint may get the read. It qualifies if it is a replica that still
-    /// answers other requests, or if no endpoint is healthy. A stale replica does not qualify.
+    /// answers other requests, or if no candidate is healthy. A stale replica does not qualify.
     fn is_usable_ejected(&self, endpoint: EndpointKey) -> bool {
         if self.cluster.is_healthy(endpoint) {
             return false;
@@ -298,8 +299,8 @@
         state.last_response_at() > since
     }
 
-    /// Returns `true` if an ejected endpoint may be tried before its ejection ends, because no endpoint is
-    /// healthy.
+    /// Returns `true` if an ejected endpoint may be tried before its ejection ends: no candidate is healthy,
+    /// no trial is in flight, and no connection to the endpoint has just failed.
     fn may_be_tried_early(&self, endpoint: EndpointKey) -> bool {
         let none_is_healthy = !self.candidates.iter().any(|other| self.cluster.is_healthy(*other));
         let health = self.cluster.endpoint(endpoint).health();
--- a/src/policy/request/mod.rs
+++ b/src/policy/request/mod.rs
@@ -137,7 +137,7 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Returns `true` if the request was sent to `endpoint` before, regardless of the outcome.
+    /// Returns `true` if an attempt was made at `endpoint`, regardless of its outcome.
     pub(crate) fn has_tried(&self, endpoint: EndpointKey) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint() == endpoint)
     }
--- a/src/policy/retry/mod.rs
+++ b/src/policy/retry/mod.rs
@@ -6,7 +6,7 @@
 //! | Condition | Function | Reason |
 //! | --- | --- | --- |
 //! | The primary did not reject the attempt as overloaded | [`charge_retry`] | `PrimaryOverloaded` |
-//! | It was provably not executed, or the budget has a token | [`charge_retry`] | `RetryBudgetExhausted` |
+//! | The attempt was provably not executed, or a token is left | [`charge_retry`] | `RetryBudgetExhausted` |
 //! | Fewer attempts are in flight than 1, or 2 with hedging | [`next_attempt`] | `TooManyInFlight` |
 //! | Fewer attempts were made than `max_attempts` | [`next_attempt`] | `AttemptsExhausted` |
 //! | No attempt may have been executed, or a repeat is harmless | [`next_attempt`] | `UnsafeRepeat` |
@@ -160,8 +160,8 @@
     CancelAndRetry,
 }
 
-/// Decides how to replace an overdue attempt. Returns `None` if that is unsafe, if the settings, the retry
-/// budget or the limits on attempts forbid it, or if the replacement would not be answered in time.
+/// Decides how to replace an overdue attempt. Returns `None` if that is unsafe or not allowed, or if the
+/// replacement would not be answered in time.
 pub(crate) fn replacement(
     request: &PendingRequest,
     number: usize,
--- a/src/policy/session/table.rs
+++ b/src/policy/session/table.rs
@@ -23,7 +23,8 @@
 }
 
 impl SessionTable {
-    /// Returns the latest commit that a session may have made; `None` if no recorded write may be its own.
+    /// Returns the latest commit that a session may have made; `None` if it has no recorded write and no
+    /// session was evicted.
     pub(crate) fn last_commit(&self, session: Option<&Arc<str>>) -> Option<LogPosition> {
         let known = session.and_then(|session| self.last_commits.get(session));
         known.copied().or(self.evicted_until)
--- a/src/policy/slow_start/mod.rs
+++ b/src/policy/slow_start/mod.rs
@@ -148,8 +148,8 @@
         (limit * READ_SHARE_OF_LIMIT / reads).min(MAX_READ_SHARE)
     }
 
-    /// Charges a request that is sent to an endpoint to its budget, if the endpoint is in slow start. The
-    /// trial request of an ejected primary is charged too, although it is sent even if the budget is empty.
+    /// Charges a request to the budget of the endpoint that it is sent to, if the endpoint is in slow start.
+    /// The trial request of an ejected primary is charged too, although it is sent even without a token.
     pub(crate) fn charge_budget(&mut self, to: EndpointKey, cluster: &Cluster) {
         if capacity(to, cluster) >= 1.0 {
             return;
