--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -127,7 +127,7 @@
             Event::Request(request) => self.request_received(request),
             Event::AttemptFinished(result) => self.attempt_finished(&result),
             Event::HealthCheckFinished { endpoint, outcome, report } => {
-                self.health_checked(&endpoint, outcome, &report);
+                self.health_check_finished(&endpoint, outcome, &report);
             }
             Event::ResponseStarted { id } | Event::ClientDisconnected { id } => {
                 self.requests.finish_by_id(&id);
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Returns the number of endpoints kept in memory, including recently removed ones.
+    /// Returns the number of endpoints for which memory is allocated, including removed ones.
     pub fn endpoint_count(&self) -> usize {
         self.cluster.endpoints().slot_count()
     }
